--- a/ragwortwick-daemon/src/area/outlets.rs
+++ b/ragwortwick-daemon/src/area/action_dispatcher.rs
@@ -5,11 +5,11 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
 
-use super::log_budget::LogBudget;
+use super::batch_writer::Write;
+use super::log_rate_limiter::LogBudget;
 use super::metrics::AreaMetrics;
-use super::orders::OrderSender;
-use super::term_writes::Write;
-use super::unstored_ends::UnstoredEnds;
+use super::order_sender::OrderSender;
+use super::unstored_completions::UnstoredEnds;
 
 /// `Outlets` are where the coordinator's actions go.
 pub(super) struct Outlets {
--- a/ragwortwick-daemon/src/area/term_writes.rs
+++ b/ragwortwick-daemon/src/area/batch_writer.rs
@@ -8,11 +8,11 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
 
-use super::coordination::EventSender;
-use super::job_store::{Deposed, JobStore};
+use super::coordinator_handler::EventSender;
 use super::metrics::AreaMetrics;
+use super::progress_store::{Deposed, JobStore};
 use super::replica::Replica;
-use super::unstored_ends::UnstoredEnds;
+use super::unstored_completions::UnstoredEnds;
 use crate::unix_now;
 
 /// `Write` is a change that the store has to take.
--- a/ragwortwick-daemon/src/area/desired_feed.rs
+++ b/ragwortwick-daemon/src/area/desired_state_feed.rs
@@ -8,8 +8,8 @@
 use ragwortwick_core::{DurationMs, Revision, log_event};
 use tokio::sync::watch;
 
-use super::desired_age::DesiredAge;
-use super::feed_log::FeedLog;
+use super::desired_state_age::DesiredAge;
+use super::feed_monitor::FeedLog;
 use super::metrics::AreaMetrics;
 use super::store_health::StoreHealth;
 use crate::Clock;
--- a/ragwortwick-daemon/src/area/host.rs
+++ b/ragwortwick-daemon/src/area/host.rs
@@ -10,14 +10,14 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinSet;
 
-use super::accept::JobWriter;
-use super::desired_age::DesiredAge;
-use super::desired_feed::DesiredFeed;
+use super::desired_state_age::DesiredAge;
+use super::desired_state_feed::DesiredFeed;
 use super::election;
-use super::front::{self, Front};
-use super::log_budget::LogBudget;
+use super::job_api::{self, Front};
+use super::job_writer::JobWriter;
+use super::log_rate_limiter::LogBudget;
 use super::metrics::{self, AreaMetrics};
-use super::ready::{self, Readiness};
+use super::readiness::{self, Readiness};
 use super::replica::Replica;
 use super::replica_feed::{CoordinatorKey, ReplicaFeed};
 use super::settings::{AreaSettings, ms};
@@ -141,12 +141,12 @@
             health,
             stopping: stopping_feed,
         };
-        let ready_server = bind(&settings.ready_listen, ready::router(readiness)).await?;
+        let ready_server = bind(&settings.ready_listen, readiness::router(readiness)).await?;
         let metrics_server = match &settings.metrics_listen {
             Some(address) => Some(bind(address, metrics::router(metrics)).await?),
             None => None,
         };
-        let server = bind(&settings.listen, front::router(front)).await?;
+        let server = bind(&settings.listen, job_api::router(front)).await?;
         log_event!(
             Info,
             "listening",
--- a/ragwortwick-daemon/src/area/front.rs
+++ b/ragwortwick-daemon/src/area/job_api.rs
@@ -20,9 +20,9 @@
 use ragwortwick_http::{Refusal, json_response, read_bytes};
 use tokio::sync::watch;
 
-use super::accept::{JobWriter, WriteOutcome};
-use super::desired_age::DesiredAge;
-use super::log_budget::LogBudget;
+use super::desired_state_age::DesiredAge;
+use super::job_writer::{JobWriter, WriteOutcome};
+use super::log_rate_limiter::LogBudget;
 use super::metrics::AreaMetrics;
 use crate::{Clock, unix_now};
 
--- a/ragwortwick-daemon/src/area/mod.rs
+++ b/ragwortwick-daemon/src/area/mod.rs
@@ -1,27 +1,27 @@
 //! An entry host of an area: callers' jobs, their records in the store, and the coordinator's duty.
 
-mod accept;
-mod coordination;
-mod desired_age;
-mod desired_feed;
+mod action_dispatcher;
+mod batch_writer;
+mod coordinator_handler;
+mod desired_state_age;
+mod desired_state_feed;
 mod election;
-mod feed_log;
-mod front;
+mod feed_monitor;
 mod host;
-mod job_store;
+mod job_api;
+mod job_writer;
 mod keys;
-mod log_budget;
+mod log_rate_limiter;
 mod metrics;
-mod orders;
-mod outlets;
-mod ready;
+mod order_sender;
+mod progress_store;
+mod readiness;
 mod replica;
 mod replica_feed;
 mod settings;
 mod store_health;
 mod term;
-mod term_writes;
-mod unstored_ends;
+mod unstored_completions;
 mod worker_feed;
 
 pub use host::{AreaHost, AreaHostError};
--- a/ragwortwick-daemon/src/area/orders.rs
+++ b/ragwortwick-daemon/src/area/order_sender.rs
@@ -12,8 +12,8 @@
 use tokio::sync::Mutex as AsyncMutex;
 use tokio::time::timeout;
 
-use super::coordination::EventSender;
-use super::log_budget::LogBudget;
+use super::coordinator_handler::EventSender;
+use super::log_rate_limiter::LogBudget;
 use crate::Clock;
 
 /// Longest wait of an order for those before it.
--- a/ragwortwick-daemon/src/area/ready.rs
+++ b/ragwortwick-daemon/src/area/readiness.rs
@@ -14,7 +14,7 @@
 use ragwortwick_area::DesiredState;
 use tokio::sync::watch;
 
-use super::desired_age::DesiredAge;
+use super::desired_state_age::DesiredAge;
 use super::replica::Replica;
 use super::store_health::StoreHealth;
 use crate::Clock;
--- a/ragwortwick-daemon/src/area/replica.rs
+++ b/ragwortwick-daemon/src/area/replica.rs
@@ -8,7 +8,7 @@
 use ragwortwick_core::{ClassName, JobId, Revision, log_event};
 
 use super::keys::{JobKey, progress_of};
-use super::unstored_ends::LeftEnd;
+use super::unstored_completions::LeftEnd;
 
 /// `JobView` is one job as this host knows it.
 #[derive(Clone, Debug, Default)]
--- a/ragwortwick-daemon/src/area/replica_feed.rs
+++ b/ragwortwick-daemon/src/area/replica_feed.rs
@@ -5,13 +5,13 @@
 use ragwortwick_core::{DurationMs, JobId, Revision, log_event};
 use tokio::sync::{mpsc, oneshot, watch};
 
-use super::coordination::EventSender;
-use super::feed_log::FeedLog;
+use super::coordinator_handler::EventSender;
+use super::feed_monitor::FeedLog;
 use super::keys::{COORDINATOR, PROGRESS, SHARED};
 use super::metrics::AreaMetrics;
 use super::replica::{JobNews, Replica, stored_progress};
 use super::store_health::StoreHealth;
-use super::unstored_ends::LeftEnd;
+use super::unstored_completions::LeftEnd;
 use crate::Clock;
 
 /// Longest wait of one watch. A connection that went silent is noticed after this and a margin.
--- a/ragwortwick-daemon/src/area/term.rs
+++ b/ragwortwick-daemon/src/area/term.rs
@@ -9,16 +9,16 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::JoinSet;
 
-use super::coordination::{CoordinatorMachine, EventSender, Load};
-use super::job_store::JobStore;
+use super::action_dispatcher::Outlets;
+use super::batch_writer::{BatchWriter, EndedJobs};
+use super::coordinator_handler::{CoordinatorMachine, EventSender, Load};
 use super::metrics::AreaMetrics;
-use super::orders::OrderSender;
-use super::outlets::Outlets;
+use super::order_sender::OrderSender;
+use super::progress_store::JobStore;
 use super::replica::Replica;
 use super::replica_feed::{Attach, CoordinatorKey, ends_left};
 use super::store_health::StoreHealth;
-use super::term_writes::{BatchWriter, EndedJobs};
-use super::unstored_ends::{self, UnstoredEnds};
+use super::unstored_completions::{self, UnstoredEnds};
 use super::worker_feed::{WorkerFeed, read_workers};
 use crate::{Clock, Duty, unix_now};
 
@@ -197,7 +197,7 @@
     let left = unstored.take();
     if !left.is_empty() {
         let (store, health) = (parts.store.clone(), parts.health.clone());
-        tokio::spawn(unstored_ends::leave(store, health, left));
+        tokio::spawn(unstored_completions::leave(store, health, left));
     }
 }
 
--- a/ragwortwick-daemon/src/area/tests.rs
+++ b/ragwortwick-daemon/src/area/tests.rs
@@ -10,11 +10,11 @@
 use ragwortwick_core::{DurationMs, JobId, Revision, TimeMs};
 
 use super::AreaSettings;
+use super::batch_writer::EndedJobs;
 use super::keys::JobKey;
 use super::metrics::AreaMetrics;
 use super::replica::{JobNews, Replica};
-use super::term_writes::EndedJobs;
-use super::unstored_ends::UnstoredEnds;
+use super::unstored_completions::UnstoredEnds;
 
 fn record(id: &str) -> Arc<JobRecord> {
     Arc::new(JobRecord {
--- a/ragwortwick-daemon/src/area/worker_feed.rs
+++ b/ragwortwick-daemon/src/area/worker_feed.rs
@@ -8,8 +8,8 @@
 use ragwortwick_area::{Event, WorkerEntry};
 use ragwortwick_core::{DurationMs, Revision, WorkerName, log_event};
 
-use super::coordination::EventSender;
-use super::feed_log::FeedLog;
+use super::coordinator_handler::EventSender;
+use super::feed_monitor::FeedLog;
 use super::metrics::AreaMetrics;
 use super::replica_feed::read_all;
 use super::store_health::StoreHealth;
