--- a/ragwortwick-area/src/advice.rs
+++ b/ragwortwick-area/src/advice.rs
@@ -11,7 +11,7 @@
 
 use crate::candidates::Candidate;
 use crate::coordinator::Coordinator;
-use crate::job::{AdviceTerms, StepId, StepSpec, TaskId};
+use crate::job::{AdvisorTiming, StepId, StepSpec, TaskId};
 use crate::messages::{Action, AdviceReply};
 use crate::packing::{Slot, racks};
 
@@ -94,7 +94,7 @@
 
 impl Coordinator {
     /// How the advisor of a candidate's queue answers; none if its jobs run on any worker.
-    pub(crate) fn advice_terms(&self, candidate: &Candidate) -> Option<&AdviceTerms> {
+    pub(crate) fn advice_terms(&self, candidate: &Candidate) -> Option<&AdvisorTiming> {
         let job = self.jobs.get(&candidate.job_id)?;
         self.terms_of(job).advice.as_ref()
     }
--- a/ragwortwick-area/src/coordinator.rs
+++ b/ragwortwick-area/src/coordinator.rs
@@ -9,12 +9,12 @@
 use crate::advice::Advice;
 use crate::desired::DesiredState;
 use crate::headroom::UrgentPeak;
-use crate::job::{JobRecord, QueueTerms, StepId};
+use crate::job::{JobRecord, QueuePolicy, StepId};
 use crate::job_state::JobState;
 use crate::limits::Limits;
 use crate::losses::Losses;
 use crate::messages::{Action, Event, WorkerEntry};
-use crate::progress::{JobPhase, Progress};
+use crate::progress::{JobPhase, JobProgress};
 use crate::records::Records;
 use crate::value::whole_work;
 use crate::worker::Worker;
@@ -66,7 +66,7 @@
     /// The job.
     pub record: Arc<JobRecord>,
     /// How far it is, if a coordinator stored that.
-    pub progress: Option<Progress>,
+    pub progress: Option<JobProgress>,
     /// Whether a caller cancelled it.
     pub is_cancelled: bool,
 }
@@ -292,11 +292,11 @@
     }
 
     /// The terms in force for a job: the desired state's, or those of its acceptance.
-    pub(crate) fn terms_of<'a>(&'a self, job: &'a JobState) -> &'a QueueTerms {
+    pub(crate) fn terms_of<'a>(&'a self, job: &'a JobState) -> &'a QueuePolicy {
         self.desired
             .queues
             .get(&job.record.queue)
-            .map_or(&job.record.terms, |queue| &queue.terms)
+            .map_or(&job.record.policy, |queue| &queue.policy)
     }
 
     fn worker_seen(&mut self, now: TimeMs, entry: WorkerEntry) {
--- a/ragwortwick-area/src/desired.rs
+++ b/ragwortwick-area/src/desired.rs
@@ -5,7 +5,7 @@
 
 use ragwortwick_core::{ClassName, CustomerName};
 
-use crate::job::QueueTerms;
+use crate::job::QueuePolicy;
 
 /// `DesiredState` is one version of the operators' configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -28,7 +28,7 @@
     /// Beginning of its paths.
     pub path_prefix: Arc<str>,
     /// How its jobs are run.
-    pub terms: QueueTerms,
+    pub policy: QueuePolicy,
     /// Whether calls need no key.
     pub is_public: bool,
 }
--- a/ragwortwick-area/src/job.rs
+++ b/ragwortwick-area/src/job.rs
@@ -195,11 +195,11 @@
     pub occurrences: u32,
 }
 
-/// `QueueTerms` is what a queue promised when a job was accepted.
+/// `QueuePolicy` is what a queue promised when a job was accepted.
 ///
 /// A later desired state goes before it; it stands in for a queue that was removed meanwhile.
 #[common(wire)]
-pub struct QueueTerms {
+pub struct QueuePolicy {
     /// Pool of workers that runs the tasks.
     pub pool: PoolName,
     /// Zero comes first and may preempt the others.
@@ -211,10 +211,10 @@
     /// Constant part of the objective.
     pub target_latency_ms: DurationMs,
     /// How the advisor of the queue's policy answers; none if any worker may run its jobs.
-    pub advice: Option<AdviceTerms>,
+    pub advice: Option<AdvisorTiming>,
 }
 
-impl QueueTerms {
+impl QueuePolicy {
     /// `objective_ms` is the time that a job may take whose longest chain of steps takes `chain_ms`.
     #[must_use]
     pub fn objective_ms(&self, chain_ms: DurationMs) -> DurationMs {
@@ -222,10 +222,10 @@
     }
 }
 
-/// `AdviceTerms` tells how long the advisor takes and how long its tickets hold.
+/// `AdvisorTiming` tells how long the advisor takes and how long its tickets hold.
 #[common(wire)]
 #[derive(Eq)]
-pub struct AdviceTerms {
+pub struct AdvisorTiming {
     /// Constant part of the time of an answer.
     pub answer_ms: DurationMs,
     /// Further time for each worker asked about.
@@ -258,8 +258,9 @@
     pub job_id: JobId,
     /// Queue that the job was handed in to.
     pub queue: ClassName,
-    /// What the queue promised then.
-    pub terms: QueueTerms,
+    /// Policy of the queue at acceptance.
+    #[serde(rename = "terms")]
+    pub policy: QueuePolicy,
     /// Customer whose key the call carried.
     pub customer: CustomerName,
     /// Text that every task gets.
--- a/ragwortwick-area/src/lib.rs
+++ b/ragwortwick-area/src/lib.rs
@@ -46,12 +46,14 @@
 pub use check::JobProblem;
 pub use coordinator::{Coordinator, KnownJob, Now};
 pub use desired::{Customer, DesiredState, Queue};
-pub use job::{AdviceTerms, JobRecord, QueueTerms, Resources, Schedule, StepId, StepSpec, TaskId};
+pub use job::{
+    AdvisorTiming, JobRecord, QueuePolicy, Resources, Schedule, StepId, StepSpec, TaskId,
+};
 pub use limits::{Limits, Weights};
 pub use losses::{Silence, SilenceKind, WorkerLoss, WorkerLost};
 pub use messages::{
     Action, AdviceReply, EndKind, EndedTask, Event, Look, LookFailure, OrderReply, RefusalCause,
     RunOver, RunningTask, StoredProgress, WorkerEntry,
 };
-pub use progress::{GangProgress, JobPhase, Progress, TaskProgress};
+pub use progress::{GangProgress, JobPhase, JobProgress, TaskProgress};
 pub use records::MAX_BATCH_RECORDS;
--- a/ragwortwick-area/src/messages.rs
+++ b/ragwortwick-area/src/messages.rs
@@ -10,7 +10,7 @@
 use crate::desired::DesiredState;
 use crate::job::{JobRecord, Resources, StepId, TaskId};
 use crate::losses::WorkerLost;
-use crate::progress::Progress;
+use crate::progress::JobProgress;
 
 /// `WorkerEntry` is what a worker tells of itself in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -254,7 +254,7 @@
     /// The job.
     pub job_id: JobId,
     /// Its progress.
-    pub progress: Progress,
+    pub progress: JobProgress,
     /// Whether callers see another phase than the last record told.
     pub has_new_phase: bool,
     /// How the job spent its time, with the record of its end; it isn't stored.
--- a/ragwortwick-area/src/progress.rs
+++ b/ragwortwick-area/src/progress.rs
@@ -31,10 +31,10 @@
     }
 }
 
-/// `Progress` is the changing part of a job's state; only the coordinator writes it.
+/// `JobProgress` is the changing part of a job's state; only the coordinator writes it.
 #[common(wire)]
 #[derive(Eq, Default)]
-pub struct Progress {
+pub struct JobProgress {
     /// What callers see.
     pub phase: JobPhase,
     /// Tasks that are no longer as they were at acceptance.
--- a/ragwortwick-area/src/stored.rs
+++ b/ragwortwick-area/src/stored.rs
@@ -8,11 +8,15 @@
 use crate::crashes::CrashRecord;
 use crate::job::TaskId;
 use crate::job_state::{JobState, TaskState};
-use crate::progress::{GangProgress, Progress, TaskProgress};
+use crate::progress::{GangProgress, JobProgress, TaskProgress};
 
 impl JobState {
     /// Takes in what an earlier coordinator stored; gives the runs that may be on workers.
-    pub(crate) fn restore(&mut self, now: TimeMs, stored: &Progress) -> Vec<(TaskId, WorkerName)> {
+    pub(crate) fn restore(
+        &mut self,
+        now: TimeMs,
+        stored: &JobProgress,
+    ) -> Vec<(TaskId, WorkerName)> {
         self.phase = stored.phase;
         self.recorded_phase = stored.phase;
         self.ended_at = stored.phase.is_final().then_some(now);
@@ -74,10 +78,10 @@
     }
 
     /// What the store has to keep, with the worker of each task that may be running.
-    pub(crate) fn progress(&self) -> Progress {
-        let mut progress = Progress {
+    pub(crate) fn progress(&self) -> JobProgress {
+        let mut progress = JobProgress {
             phase: self.phase,
-            ..Progress::default()
+            ..JobProgress::default()
         };
         for (occurrence, steps) in (0..).zip(&self.occurrences) {
             for (number, step) in (0..).zip(steps) {
--- a/ragwortwick-area/src/value.rs
+++ b/ragwortwick-area/src/value.rs
@@ -81,7 +81,7 @@
                 .desired
                 .queues
                 .get(queue)
-                .map_or(0, |q| q.terms.priority);
+                .map_or(0, |q| q.policy.priority);
             worth += self.limits.weights.of(priority) * f64::from(*count);
             work += sum * CORES_PER_ACCELERATOR_AS_FLOAT;
         }
--- a/ragwortwick-area/tests/advice.rs
+++ b/ragwortwick-area/tests/advice.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use ragwortwick_area::{
-    Action, AdviceReply, AdviceTerms, DesiredState, EndKind, Event, OrderReply, RefusalCause,
+    Action, AdviceReply, AdvisorTiming, DesiredState, EndKind, Event, OrderReply, RefusalCause,
     StepId,
 };
 use ragwortwick_core::{ClassName, DurationMs, WorkerName};
@@ -17,7 +17,7 @@
 fn advised() -> Arc<DesiredState> {
     let mut state = DesiredState::clone(&desired());
     let queue = state.queues.get_mut(&ClassName::new("patient"));
-    queue.expect("a patient queue").terms.advice = Some(AdviceTerms {
+    queue.expect("a patient queue").policy.advice = Some(AdvisorTiming {
         answer_ms: DurationMs(50),
         per_worker_ms: DurationMs(5),
         valid_ms: DurationMs(VALID_MS),
--- a/ragwortwick-area/tests/crashes.rs
+++ b/ragwortwick-area/tests/crashes.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use ragwortwick_area::{
-    Event, JobPhase, JobRecord, KnownJob, LookFailure, OrderReply, Progress, RefusalCause,
+    Event, JobPhase, JobProgress, JobRecord, KnownJob, LookFailure, OrderReply, RefusalCause,
     StepSpec, TaskId, WorkerEntry,
 };
 use ragwortwick_core::{JobId, WorkerName};
@@ -98,7 +98,7 @@
 fn verify_crashes_of_a_task_count_across_takeovers() {
     let mut fleet = Fleet::new(6);
     let record: Arc<JobRecord> = job(CRASHER, "urgent", vec![step(1, 8)]);
-    let mut progress: Option<Progress> = None;
+    let mut progress: Option<JobProgress> = None;
     let mut starts = 0;
     for term in 0..10_u64 {
         let known = KnownJob {
@@ -349,9 +349,9 @@
 /// gives what it stores of each job.
 fn finds_workers_lost(
     fleet: &mut Fleet,
-    jobs: &[(Arc<JobRecord>, Option<Progress>)],
+    jobs: &[(Arc<JobRecord>, Option<JobProgress>)],
     begins_ms: u64,
-) -> (Rig, Vec<Option<Progress>>) {
+) -> (Rig, Vec<Option<JobProgress>>) {
     let known = jobs.iter().map(|(record, progress)| KnownJob {
         record: Arc::clone(record),
         progress: progress.clone(),
--- a/ragwortwick-area/tests/headroom.rs
+++ b/ragwortwick-area/tests/headroom.rs
@@ -4,7 +4,7 @@
 
 use std::sync::Arc;
 
-use ragwortwick_area::{EndKind, Event, JobRecord, QueueTerms, StepSpec, TaskId, WorkerEntry};
+use ragwortwick_area::{EndKind, Event, JobRecord, QueuePolicy, StepSpec, TaskId, WorkerEntry};
 use ragwortwick_core::{JobId, WorkerName};
 use rig::{Rig, ended, gang, job, step, worker};
 
@@ -77,12 +77,12 @@
     assert_eq!(rig.start_all().len(), 2);
     for id in ["00000000000000e1", "00000000000000e2"] {
         let record = job(id, "elsewhere", vec![step(16, 1)]);
-        let terms = QueueTerms {
+        let terms = QueuePolicy {
             pool: "other".into(),
-            ..record.terms.clone()
+            ..record.policy.clone()
         };
         let record = JobRecord {
-            terms,
+            policy: terms,
             ..(*record).clone()
         };
         rig.tell(Event::JobAccepted(Arc::new(record)));
--- a/ragwortwick-area/tests/rig/mod.rs
+++ b/ragwortwick-area/tests/rig/mod.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use ragwortwick_area::{
-    Action, Coordinator, Customer, DesiredState, EndKind, EndedTask, Event, JobRecord, KnownJob,
-    Limits, Look, LookFailure, Now, OrderReply, Progress, Queue, QueueTerms, Resources,
+    Action, Coordinator, Customer, DesiredState, EndKind, EndedTask, Event, JobProgress, JobRecord,
+    KnownJob, Limits, Look, LookFailure, Now, OrderReply, Queue, QueuePolicy, Resources,
     RunningTask, StepSpec, StoredProgress, TaskId, WorkerEntry, WorkerLost,
 };
 use ragwortwick_core::{ClassName, CustomerName, DurationMs, JobId, PoolName, TimeMs, WorkerName};
@@ -45,8 +45,8 @@
     }
 }
 
-pub fn terms(priority: u32) -> QueueTerms {
-    QueueTerms {
+pub fn terms(priority: u32) -> QueuePolicy {
+    QueuePolicy {
         pool: PoolName::new("booking"),
         priority,
         attempts: ATTEMPTS,
@@ -61,7 +61,7 @@
         let queue = Queue {
             host: "jobs.example".into(),
             path_prefix: format!("/{name}/").into(),
-            terms: terms(priority),
+            policy: terms(priority),
             is_public: false,
         };
         (ClassName::new(name), queue)
@@ -111,7 +111,7 @@
     Arc::new(JobRecord {
         job_id: JobId::new(id),
         queue: ClassName::new(queue),
-        terms: terms(priority),
+        policy: terms(priority),
         customer: CustomerName::new("c"),
         payload: "payload".into(),
         steps,
@@ -163,7 +163,7 @@
     }
 
     /// Takes the batches that wait and confirms them; gives their records.
-    pub fn store(&mut self) -> Vec<(JobId, Progress)> {
+    pub fn store(&mut self) -> Vec<(JobId, JobProgress)> {
         let mut stored = Vec::new();
         loop {
             let batches = self.batches();
--- a/ragwortwick-daemon/src/area/job_api.rs
+++ b/ragwortwick-daemon/src/area/job_api.rs
@@ -218,7 +218,7 @@
     let record = JobRecord {
         job_id: job_id.clone(),
         queue: call.queue_name.clone(),
-        terms: call.queue.terms.clone(),
+        policy: call.queue.policy.clone(),
         customer: call.customer.clone(),
         payload: body.payload,
         steps: body.steps,
--- a/ragwortwick-daemon/src/area/replica.rs
+++ b/ragwortwick-daemon/src/area/replica.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use ragwortwick_adapter::{Change, Item};
-use ragwortwick_area::{JobPhase, JobRecord, KnownJob, Progress};
+use ragwortwick_area::{JobPhase, JobProgress, JobRecord, KnownJob};
 use ragwortwick_core::{ClassName, JobId, Revision, log_event};
 
 use super::keys::{JobKey, progress_of};
@@ -56,7 +56,7 @@
 }
 
 /// Progress of jobs as the store has it, with the revision that the next write depends on.
-pub(super) type StoredProgresses = HashMap<JobId, (Progress, Revision)>;
+pub(super) type StoredProgresses = HashMap<JobId, (JobProgress, Revision)>;
 
 /// Reads the jobs' progress; what can't be read is logged and left out.
 pub(super) fn stored_progress(items: &[Item]) -> StoredProgresses {
--- a/ragwortwick-daemon/src/area/tests.rs
+++ b/ragwortwick-daemon/src/area/tests.rs
@@ -5,7 +5,7 @@
 
 use ragwortwick_adapter::{Change, Item, StoreClient};
 use ragwortwick_area::{
-    JobPhase, JobRecord, Progress, QueueTerms, StepSpec, StoredProgress, TaskId,
+    JobPhase, JobProgress, JobRecord, QueuePolicy, StepSpec, StoredProgress, TaskId,
 };
 use ragwortwick_core::{DurationMs, JobId, Revision, TimeMs};
 
@@ -20,7 +20,7 @@
     Arc::new(JobRecord {
         job_id: JobId::new(id),
         queue: "q".into(),
-        terms: QueueTerms {
+        policy: QueuePolicy {
             pool: "p".into(),
             priority: 0,
             attempts: 1,
@@ -88,9 +88,9 @@
     let replica = Replica::default();
     let record = record("00000000000000ad");
     replica.note_accepted(&record, Revision(5));
-    let progress = Progress {
+    let progress = JobProgress {
         phase: JobPhase::Completed,
-        ..Progress::default()
+        ..JobProgress::default()
     };
     replica.apply(&Change::Written(Item {
         key: JobKey::Phase.of(&record.job_id),
@@ -124,7 +124,7 @@
     };
     let record_of = |job_id: &str| StoredProgress {
         job_id: JobId::new(job_id),
-        progress: Progress::default(),
+        progress: JobProgress::default(),
         has_new_phase: false,
         account: None,
     };
--- a/ragwortwick-emulator/src/advisor.rs
+++ b/ragwortwick-emulator/src/advisor.rs
@@ -57,7 +57,7 @@
         ticket: Option<&str>,
     ) -> bool {
         let record = &self.arrivals[self.by_job[&task.job_id]].record;
-        if record.terms.advice.is_none() {
+        if record.policy.advice.is_none() {
             return true;
         }
         let key = (self.workers[index].name.clone(), task.step_id());
--- a/ragwortwick-emulator/src/arrivals.rs
+++ b/ragwortwick-emulator/src/arrivals.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use ragwortwick_area::{
-    AdviceTerms, Customer, DesiredState, JobRecord, Queue, QueueTerms, Resources, Schedule,
+    AdvisorTiming, Customer, DesiredState, JobRecord, Queue, QueuePolicy, Resources, Schedule,
     StepSpec,
 };
 use ragwortwick_core::{ClassName, CustomerName, DurationMs, JobId, PoolName, TimeMs};
@@ -141,7 +141,7 @@
         record: Arc::new(JobRecord {
             job_id,
             queue: ClassName::new(&queue.name),
-            terms: terms(queue),
+            policy: terms(queue),
             customer,
             payload: Arc::from(payload),
             steps,
@@ -159,13 +159,13 @@
     }
 }
 
-fn terms(queue: &QueueLoad) -> QueueTerms {
-    let advice = AdviceTerms {
+fn terms(queue: &QueueLoad) -> QueuePolicy {
+    let advice = AdvisorTiming {
         answer_ms: DurationMs(40),
         per_worker_ms: DurationMs(3),
         valid_ms: TICKET_MS,
     };
-    QueueTerms {
+    QueuePolicy {
         pool: PoolName::new(POOL),
         priority: queue.priority,
         attempts: queue.attempts,
@@ -182,7 +182,7 @@
         let known = Queue {
             host: "jobs.example".into(),
             path_prefix: format!("/{name}/").into(),
-            terms: terms(queue),
+            policy: terms(queue),
             is_public: false,
         };
         (ClassName::new(name), known)
--- a/ragwortwick-emulator/src/coordination.rs
+++ b/ragwortwick-emulator/src/coordination.rs
@@ -1,6 +1,6 @@
 //! Coordinators in the world: what they hear, and what they ask of the store.
 
-use ragwortwick_area::{Action, Event, JobPhase, Progress, StoredProgress, TaskId};
+use ragwortwick_area::{Action, Event, JobPhase, JobProgress, StoredProgress, TaskId};
 use ragwortwick_core::{DurationMs, JobId};
 use rand::Rng;
 
@@ -130,7 +130,7 @@
         self.after(delay_ms, Happening::Hear { host, term, event });
     }
 
-    pub(crate) fn keep(&mut self, job_id: &JobId, progress: &Progress) {
+    pub(crate) fn keep(&mut self, job_id: &JobId, progress: &JobProgress) {
         let is_all_done = self.is_all_done(job_id);
         let Some(job) = self.store.jobs.get_mut(job_id) else {
             return;
@@ -143,7 +143,7 @@
         self.truth
             .shown(self.now, job_id, progress.phase, is_all_done);
         if progress.phase == JobPhase::Failed {
-            let attempts = self.arrivals[self.by_job[job_id]].record.terms.attempts;
+            let attempts = self.arrivals[self.by_job[job_id]].record.policy.attempts;
             self.truth.shown_failed(self.now, job_id, attempts);
         }
         if progress.phase == JobPhase::Completed {
--- a/ragwortwick-emulator/src/pool.rs
+++ b/ragwortwick-emulator/src/pool.rs
@@ -291,7 +291,7 @@
             is_due,
             same_step_here: u32::try_from(same_step_here).unwrap_or(u32::MAX) + 1,
             max_per_worker: spec.max_per_worker,
-            attempts: record.terms.attempts,
+            attempts: record.policy.attempts,
             is_payload_right: *record.payload == *payload,
             is_checkpoint_right: checkpoint.is_empty() || read_checkpoint(checkpoint).0 == expected,
         };
--- a/ragwortwick-emulator/src/store.rs
+++ b/ragwortwick-emulator/src/store.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use ragwortwick_area::{JobRecord, KnownJob, Progress};
+use ragwortwick_area::{JobProgress, JobRecord, KnownJob};
 use ragwortwick_core::{DurationMs, JobId, TimeMs};
 
 /// Time to live of the coordinator's lease.
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct StoredJob {
     pub(crate) record: Arc<JobRecord>,
-    pub(crate) progress: Option<Progress>,
+    pub(crate) progress: Option<JobProgress>,
     pub(crate) cancelled_at: Option<TimeMs>,
 }
 
--- a/ragwortwick-emulator/src/world.rs
+++ b/ragwortwick-emulator/src/world.rs
@@ -328,7 +328,7 @@
 
     /// The objective by the true work, as callers feel it.
     pub(crate) fn objective_ms(&self, job_id: &JobId) -> u64 {
-        let terms = &self.arrivals[self.by_job[job_id]].record.terms;
+        let terms = &self.arrivals[self.by_job[job_id]].record.policy;
         terms.objective_ms(DurationMs(self.chain_ms(job_id))).0
     }
 
