--- a/ragwortwick-area/src/candidates.rs
+++ b/ragwortwick-area/src/candidates.rs
@@ -69,7 +69,7 @@
                 continue;
             }
             let terms = self.terms_of(job);
-            for occurrence in 0..job.record.occurrences() {
+            for occurrence in 0..job.record.occurrence_count() {
                 let due_at = due_at(now, &job.record, job.accepted_at, occurrence);
                 if due_at > now.steady {
                     next_due = Some(next_due.map_or(due_at, |at| at.min(due_at)));
--- a/ragwortwick-area/src/check.rs
+++ b/ragwortwick-area/src/check.rs
@@ -63,7 +63,7 @@
             }
         }
         let tasks: u64 = self.steps.iter().map(|step| u64::from(step.count)).sum();
-        let all = tasks.saturating_mul(u64::from(self.occurrences()));
+        let all = tasks.saturating_mul(u64::from(self.occurrence_count()));
         if all > MAX_TASKS {
             let text = format!("{all} tasks over all occurrences, at most {MAX_TASKS} are taken");
             return Err(problem("steps".to_owned(), text));
--- a/ragwortwick-area/src/displacement.rs
+++ b/ragwortwick-area/src/displacement.rs
@@ -35,7 +35,7 @@
     for _ in 0..count {
         let index = pack_single(&slots, spec, &bounds, Reach::Anywhere)?;
         bounds.take(&slots[index].worker);
-        slots[index].take(spec.reserved());
+        slots[index].take(spec.demand());
         places.push(index);
     }
     Some(places)
@@ -137,7 +137,7 @@
                 }
             }
             let slot = &mut self.slots[index];
-            slot.take(self.spec.reserved());
+            slot.take(self.spec.demand());
             self.bounds.take(&slot.worker);
             places.push(self.within.start + index);
         }
@@ -254,7 +254,7 @@
     reason = "amounts on one worker are far below what a float holds exactly"
 )]
 fn share(freed: Resources, spec: &StepSpec) -> f64 {
-    let need = spec.reserved();
+    let need = spec.demand();
     let parts = [
         (freed.cpu_millis, need.cpu_millis),
         (freed.memory_mb, need.memory_mb),
--- a/ragwortwick-area/src/held.rs
+++ b/ragwortwick-area/src/held.rs
@@ -95,7 +95,7 @@
     pub(crate) fn intended(now: TimeMs, spec: &StepSpec, run: u32, priority: u32) -> Self {
         Self {
             run,
-            need: spec.reserved(),
+            need: spec.demand(),
             phase: HeldPhase::Intended,
             priority,
             placed_at: now,
--- a/ragwortwick-area/src/job.rs
+++ b/ragwortwick-area/src/job.rs
@@ -31,9 +31,9 @@
         }
     }
 
-    /// `minus` takes away another amount, down to zero.
+    /// `saturating_sub` takes away another amount, down to zero.
     #[must_use]
-    pub fn minus(self, other: Self) -> Self {
+    pub fn saturating_sub(self, other: Self) -> Self {
         Self {
             cpu_millis: self.cpu_millis.saturating_sub(other.cpu_millis),
             memory_mb: self.memory_mb.saturating_sub(other.memory_mb),
@@ -41,9 +41,9 @@
         }
     }
 
-    /// `least` gives the lesser of two amounts, of each resource.
+    /// `component_min` gives the lesser of two amounts, of each resource.
     #[must_use]
-    pub fn least(self, other: Self) -> Self {
+    pub fn component_min(self, other: Self) -> Self {
         Self {
             cpu_millis: self.cpu_millis.min(other.cpu_millis),
             memory_mb: self.memory_mb.min(other.memory_mb),
@@ -51,15 +51,15 @@
         }
     }
 
-    /// `is_nothing` tells whether there is none of any resource.
+    /// `is_zero` tells whether there is none of any resource.
     #[must_use]
-    pub fn is_nothing(self) -> bool {
+    pub fn is_zero(self) -> bool {
         self == Self::default()
     }
 
-    /// `times` multiplies the amount.
+    /// `scaled` multiplies the amount.
     #[must_use]
-    pub fn times(self, count: u64) -> Self {
+    pub fn scaled(self, count: u64) -> Self {
         Self {
             cpu_millis: self.cpu_millis * count,
             memory_mb: self.memory_mb * count,
@@ -67,9 +67,9 @@
         }
     }
 
-    /// `fits` counts how many tasks of the given need go into this amount.
+    /// `task_capacity` counts how many tasks of the given need go into this amount.
     #[must_use]
-    pub fn fits(self, need: Self) -> u64 {
+    pub fn task_capacity(self, need: Self) -> u64 {
         let part = |have: u64, want: u64| have.checked_div(want).unwrap_or(u64::MAX);
         part(self.cpu_millis, need.cpu_millis)
             .min(part(self.memory_mb, need.memory_mb))
@@ -130,9 +130,9 @@
 }
 
 impl StepSpec {
-    /// `shape` is what decides where a task fits, without what differs between alike jobs.
+    /// `placement_key` is what decides where a task fits, without what differs between alike jobs.
     #[must_use]
-    pub(crate) fn shape(&self) -> Self {
+    pub(crate) fn placement_key(&self) -> Self {
         Self {
             estimate_ms: DurationMs(0),
             after: Vec::new(),
@@ -141,9 +141,9 @@
         }
     }
 
-    /// `reserved` is what one task takes from a worker's capacity.
+    /// `demand` is what one task takes from a worker's capacity.
     #[must_use]
-    pub fn reserved(&self) -> Resources {
+    pub fn demand(&self) -> Resources {
         if self.is_filler {
             // A filler's processor share comes from what others leave unused.
             Resources {
@@ -274,9 +274,9 @@
 }
 
 impl JobRecord {
-    /// `occurrences` counts how often the steps run.
+    /// `occurrence_count` counts how often the steps run.
     #[must_use]
-    pub fn occurrences(&self) -> u32 {
+    pub fn occurrence_count(&self) -> u32 {
         self.schedule
             .as_ref()
             .map_or(1, |schedule| schedule.occurrences)
@@ -292,16 +292,16 @@
             })
     }
 
-    /// `steps_in_short` describes the steps for log lines.
+    /// `steps_summary` describes the steps for log lines.
     #[must_use]
-    pub fn steps_in_short(&self) -> String {
+    pub fn steps_summary(&self) -> String {
         let steps: Vec<String> = self.steps.iter().map(StepSpec::to_string).collect();
         steps.join(",")
     }
 
-    /// `chain_ms` estimates the longest chain of steps of one occurrence.
+    /// `critical_path_ms` estimates the longest chain of steps of one occurrence.
     #[must_use]
-    pub fn chain_ms(&self) -> DurationMs {
+    pub fn critical_path_ms(&self) -> DurationMs {
         let mut ends: Vec<u64> = Vec::with_capacity(self.steps.len());
         for step in &self.steps {
             let begin = step
@@ -318,9 +318,9 @@
 }
 
 impl TaskId {
-    /// `is_of` tells whether the task belongs to the step.
+    /// `belongs_to` tells whether the task belongs to the step.
     #[must_use]
-    pub fn is_of(&self, step: &StepId) -> bool {
+    pub fn belongs_to(&self, step: &StepId) -> bool {
         self.job_id == step.job_id && self.occurrence == step.occurrence && self.step == step.step
     }
 
--- a/ragwortwick-area/src/job_state.rs
+++ b/ragwortwick-area/src/job_state.rs
@@ -106,7 +106,7 @@
     pub(crate) fn new(record: Arc<JobRecord>, accepted_at: TimeMs) -> Self {
         let steps: Vec<StepState> = record.steps.iter().map(StepState::new).collect();
         Self {
-            occurrences: vec![steps; record.occurrences() as usize],
+            occurrences: vec![steps; record.occurrence_count() as usize],
             record,
             phase: JobPhase::Queued,
             recorded_phase: JobPhase::Queued,
--- a/ragwortwick-area/src/keeping.rs
+++ b/ragwortwick-area/src/keeping.rs
@@ -143,9 +143,9 @@
         for index in kept.places {
             let slot = &mut slots[index];
             let before = slot.free;
-            slot.free = before.minus(spec.reserved());
+            slot.free = before.saturating_sub(spec.demand());
             // What runs there has not ended yet, so there may be less to keep than the gang needs.
-            keeping.kept.push((index, before.minus(slot.free)));
+            keeping.kept.push((index, before.saturating_sub(slot.free)));
             if keeping.workers.insert(slot.worker.clone()) {
                 keeping.workers_left -= 1;
             }
@@ -240,7 +240,7 @@
     let mut ends = outlook.iter();
     loop {
         while times.len() < count && slot.room(spec, bounds) > 0 {
-            slot.take(spec.reserved());
+            slot.take(spec.demand());
             times.push(at);
         }
         match ends.next() {
--- a/ragwortwick-area/src/looks.rs
+++ b/ragwortwick-area/src/looks.rs
@@ -181,7 +181,7 @@
             // Nobody waits for its end; it only takes room, until it is gone.
             let job = self.jobs.get(&row.task.job_id);
             if let Some(spec) = job.and_then(|job| job.spec(row.task.step)) {
-                worker.strays = worker.strays.plus(spec.reserved());
+                worker.strays = worker.strays.plus(spec.demand());
             }
             self.actions.push(Action::Stop {
                 worker: worker_name.clone(),
--- a/ragwortwick-area/src/orders.rs
+++ b/ragwortwick-area/src/orders.rs
@@ -24,7 +24,7 @@
         let Some(worker) = self.workers.get_mut(worker_name) else {
             return;
         };
-        let has_room = worker.excess().is_nothing();
+        let has_room = worker.excess().is_zero();
         let takes_work = worker.is_listed && !worker.entry.is_draining && has_ticket && has_room;
         let Some(held) = worker.held.get_mut(task) else {
             return;
@@ -128,7 +128,7 @@
     fn resend_start(&mut self, now: TimeMs, worker: &WorkerName, task: &TaskId) {
         let must_not_begin = self.workers.get(worker).is_some_and(|worker| {
             let is_leaving = worker.entry.is_draining || !worker.is_listed;
-            is_leaving || !worker.excess().is_nothing()
+            is_leaving || !worker.excess().is_zero()
         });
         if must_not_begin || self.ticket_for(now, worker, task).is_err() {
             self.stop_group(now, task, OverWhy::StartInDoubt);
--- a/ragwortwick-area/src/packing.rs
+++ b/ragwortwick-area/src/packing.rs
@@ -37,29 +37,31 @@
 impl Slot {
     /// How many tasks it takes, whatever else binds.
     pub(crate) fn fits(&self, spec: &StepSpec) -> u64 {
-        if self.is_closed || !self.excess.is_nothing() {
+        if self.is_closed || !self.excess.is_zero() {
             return 0;
         }
-        self.free.fits(spec.reserved()).min(u64::from(u32::MAX))
+        self.free
+            .task_capacity(spec.demand())
+            .min(u64::from(u32::MAX))
     }
 
     /// Takes an amount out of what is free.
     pub(crate) fn take(&mut self, amount: Resources) {
-        self.free = self.free.minus(amount);
+        self.free = self.free.saturating_sub(amount);
     }
 
     /// Adds what is no longer held, as far as it was not in excess.
     pub(crate) fn give_back(&mut self, amount: Resources) {
-        let paid = self.excess.least(amount);
-        self.excess = self.excess.minus(paid);
-        self.free = self.free.plus(amount.minus(paid));
+        let paid = self.excess.component_min(amount);
+        self.excess = self.excess.saturating_sub(paid);
+        self.free = self.free.plus(amount.saturating_sub(paid));
     }
 
     /// The same worker with an amount held again that was given back.
     pub(crate) fn with_held_again(&self, amount: Resources) -> Self {
         Self {
-            excess: self.excess.plus(amount.minus(self.free)),
-            free: self.free.minus(amount),
+            excess: self.excess.plus(amount.saturating_sub(self.free)),
+            free: self.free.saturating_sub(amount),
             ..self.clone()
         }
     }
--- a/ragwortwick-area/src/preempt.rs
+++ b/ragwortwick-area/src/preempt.rs
@@ -29,7 +29,7 @@
 
 impl Group {
     fn holds(&self, task: &TaskId) -> bool {
-        task.is_of(&self.step) && self.index.is_none_or(|index| index == task.index)
+        task.belongs_to(&self.step) && self.index.is_none_or(|index| index == task.index)
     }
 }
 
@@ -82,11 +82,11 @@
                 wants_fast: true,
                 ..Bounds::default()
             };
-            let shape = (spec.shape(), count);
+            let shape = (spec.placement_key(), count);
             // What the advisor allows differs from step to step.
             let is_hopeless = bounds.allowed.is_none() && unplaced.contains(&shape);
             if !is_hopeless && let Some(places) = find(&future, &spec, count, &bounds) {
-                reserve(&mut future, room, &places, spec.reserved());
+                reserve(&mut future, room, &places, spec.demand());
                 continue;
             }
             if !is_hopeless {
@@ -124,7 +124,7 @@
             });
             // What stops frees more than this job needs, so others may find room after all.
             unplaced.clear();
-            reserve(&mut future, room, &plan.places, spec.reserved());
+            reserve(&mut future, room, &plan.places, spec.demand());
         }
     }
 
--- a/ragwortwick-area/src/schedule.rs
+++ b/ragwortwick-area/src/schedule.rs
@@ -110,7 +110,7 @@
         } else {
             1
         };
-        Some((spec.shape(), count))
+        Some((spec.placement_key(), count))
     }
 
     /// Whether a task of the step is to start with nothing else.
@@ -241,7 +241,7 @@
         };
         let task = job.task_id(candidate.occurrence, candidate.step, index);
         let worker = room.slots[slot].worker.clone();
-        room.take(slot, spec.reserved());
+        room.take(slot, spec.demand());
         if job
             .task(&task)
             .is_some_and(|state| state.crashes.starts_alone())
--- a/ragwortwick-area/src/stops.rs
+++ b/ragwortwick-area/src/stops.rs
@@ -133,7 +133,7 @@
             .is_some_and(|spec| spec.is_gang);
         if is_gang {
             let step = task.step_id();
-            self.stop_where(now, why, |other| other.is_of(&step));
+            self.stop_where(now, why, |other| other.belongs_to(&step));
         } else {
             self.stop_where(now, why, |other| other == task);
         }
--- a/ragwortwick-area/src/value.rs
+++ b/ragwortwick-area/src/value.rs
@@ -44,7 +44,7 @@
         let terms = self.terms_of(job);
         let steps = &job.occurrences[occurrence];
         let rest_ms = rest_of_chain_ms(job, steps);
-        let objective_ms = terms.objective_ms(job.record.chain_ms());
+        let objective_ms = terms.objective_ms(job.record.critical_path_ms());
         let ready_at = now + rest_ms;
         let late_at = due_at + objective_ms.scaled(LATE_LIMIT);
         let is_in_time = ready_at <= due_at + objective_ms;
--- a/ragwortwick-area/src/worker.rs
+++ b/ragwortwick-area/src/worker.rs
@@ -185,12 +185,12 @@
 
     pub(crate) fn release(&mut self, task: &TaskId) -> Option<Held> {
         let held = self.held.remove(task)?;
-        self.used = self.used.minus(held.need);
+        self.used = self.used.saturating_sub(held.need);
         Some(held)
     }
 
     pub(crate) fn free(&self) -> Resources {
-        self.entry.capacity.minus(self.taken())
+        self.entry.capacity.saturating_sub(self.taken())
     }
 
     fn taken(&self) -> Resources {
@@ -199,7 +199,7 @@
 
     /// What is held beyond the capacity, which may have shrunk since; what is stopping counts.
     pub(crate) fn excess(&self) -> Resources {
-        self.taken().minus(self.entry.capacity)
+        self.taken().saturating_sub(self.entry.capacity)
     }
 
     /// Whether new work may go there.
@@ -222,7 +222,7 @@
             .values()
             .any(|held| !matches!(held.phase, HeldPhase::Intended));
         has_run
-            || !self.strays.is_nothing()
+            || !self.strays.is_zero()
             || self.stored > self.told
             || (self.is_silent() && self.is_listed)
     }
--- a/ragwortwick-daemon/src/area/job_api.rs
+++ b/ragwortwick-daemon/src/area/job_api.rs
@@ -237,7 +237,7 @@
         return Refusal::new(StatusCode::BAD_REQUEST, error.field(), text).into_response(state);
     }
     let begun_at = front.clock.now();
-    let steps = record.steps_in_short();
+    let steps = record.steps_summary();
     // A version that this host hasn't seen may have dropped the queue or the key.
     let outcome = if front.age.is_confirmed(begun_at) {
         front.writer.accept(record, call.until).await
--- a/ragwortwick-emulator/src/coordination.rs
+++ b/ragwortwick-emulator/src/coordination.rs
@@ -153,7 +153,7 @@
 
     pub(crate) fn is_all_done(&self, job_id: &JobId) -> bool {
         let record = &self.arrivals[self.by_job[job_id]].record;
-        (0..record.occurrences()).all(|occurrence| {
+        (0..record.occurrence_count()).all(|occurrence| {
             (0..).zip(&record.steps).all(|(step, spec)| {
                 let task = |index| TaskId {
                     job_id: job_id.clone(),
--- a/ragwortwick-emulator/src/pool.rs
+++ b/ragwortwick-emulator/src/pool.rs
@@ -280,7 +280,7 @@
             run,
             is_late,
             others,
-            is_over_capacity: !used.minus(capacity).is_nothing(),
+            is_over_capacity: !used.saturating_sub(capacity).is_zero(),
             has_label: spec
                 .required_label
                 .as_ref()
--- a/ragwortwick-emulator/src/worth.rs
+++ b/ragwortwick-emulator/src/worth.rs
@@ -185,7 +185,7 @@
         self.outcomes.push(Outcome {
             queue: queue.name.clone(),
             customer,
-            steps: record.steps_in_short(),
+            steps: record.steps_summary(),
             owed,
             earned,
             objective_ms: seen.objective_ms,
