--- a/ragwortwick-area/src/candidates.rs
+++ b/ragwortwick-area/src/candidates.rs
@@ -79,8 +79,11 @@
                 let mut standing = None;
                 for number in 0..u32::try_from(steps.len()).unwrap_or(u32::MAX) {
                     let step = &steps[number as usize];
-                    let is_blocked = step.is_done() || step.gang_ending;
-                    if is_blocked || !job.is_step_open(occurrence, number) || step.waiting() == 0 {
+                    let is_blocked = step.is_done() || step.is_gang_ending;
+                    if is_blocked
+                        || !job.is_step_ready(occurrence, number)
+                        || step.waiting_count() == 0
+                    {
                         continue;
                     }
                     let standing = *standing.get_or_insert_with(|| {
@@ -139,7 +142,9 @@
 
     pub(crate) fn waiting_accelerators(&self, candidate: &Candidate) -> Option<u64> {
         let job = self.jobs.get(&candidate.job_id)?;
-        let count = job.step(candidate.occurrence, candidate.step)?.waiting();
+        let count = job
+            .step(candidate.occurrence, candidate.step)?
+            .waiting_count();
         Some(job.spec(candidate.step)?.need.accelerators * count as u64)
     }
 
--- a/ragwortwick-area/src/coordinator.rs
+++ b/ragwortwick-area/src/coordinator.rs
@@ -357,7 +357,7 @@
     pub(crate) fn job_over(&mut self, now: TimeMs, job_id: &JobId) {
         if let Some(job) = self.jobs.get_mut(job_id) {
             job.ended_at = Some(now);
-            job.account.close(now);
+            job.accounting.close(now);
         }
         self.open_jobs.remove(job_id);
         self.advice.forget(job_id);
--- a/ragwortwick-area/src/ends.rs
+++ b/ragwortwick-area/src/ends.rs
@@ -101,13 +101,13 @@
         let Some(job) = self.jobs.get_mut(&task.job_id) else {
             return;
         };
-        let settled = job.settle(task, run, outcome, &held.checkpoint, attempts);
-        job.last_over_at = now;
+        let settled = job.apply_outcome(task, run, outcome, &held.checkpoint, attempts);
+        job.last_run_ended_at = now;
         if why != OverWhy::Done {
-            job.account.lost(why, vain_ms, lost_core_ms);
+            job.accounting.lost(why, vain_ms, lost_core_ms);
         }
         if job.is_idle() {
-            job.account.idle(now);
+            job.accounting.idle(now);
         }
         self.records.mark(&task.job_id);
         self.wants_pass = true;
--- a/ragwortwick-area/src/inherit.rs
+++ b/ragwortwick-area/src/inherit.rs
@@ -34,7 +34,7 @@
                 checkpoint: Arc::clone(&state.checkpoint),
                 is_resumed: true,
                 tries: 1,
-                crashes: state.crashes,
+                crashes: state.crash_history,
                 pace_told: None,
                 ..Held::intended(now.steady, spec, state.last_run, priority)
             };
--- a/ragwortwick-area/src/job_state.rs
+++ b/ragwortwick-area/src/job_state.rs
@@ -20,7 +20,7 @@
     /// A run of it is or may be on the worker.
     Placed(WorkerName),
     /// Its run is over, but runs of other members of its gang are not.
-    Left,
+    AwaitingGang,
     /// A run of it ended well.
     Done,
 }
@@ -30,7 +30,7 @@
     pub(crate) state: TaskState,
     pub(crate) last_run: u32,
     pub(crate) failures: u32,
-    pub(crate) crashes: CrashRecord,
+    pub(crate) crash_history: CrashRecord,
     pub(crate) checkpoint: Arc<str>,
 }
 
@@ -38,13 +38,13 @@
 #[derive(Clone, Debug)]
 pub(crate) struct StepState {
     pub(crate) tasks: Vec<Task>,
-    pub(crate) done: usize,
-    pub(crate) placed: usize,
+    pub(crate) done_count: usize,
+    pub(crate) placed_count: usize,
     /// Failed runs of the gang as a whole.
     pub(crate) gang_failures: u32,
     /// Whether the gang's run is ending and its members are waited for.
-    pub(crate) gang_ending: bool,
-    pub(crate) gang_failed: bool,
+    pub(crate) is_gang_ending: bool,
+    pub(crate) has_failed_member: bool,
     /// What its tasks took so far.
     pub(crate) durations: AlikeDurations,
 }
@@ -55,25 +55,25 @@
             state: TaskState::Waiting,
             last_run: 0,
             failures: 0,
-            crashes: CrashRecord::default(),
+            crash_history: CrashRecord::default(),
             checkpoint: "".into(),
         };
         Self {
             tasks: vec![task; spec.count as usize],
-            done: 0,
-            placed: 0,
+            done_count: 0,
+            placed_count: 0,
             gang_failures: 0,
-            gang_ending: false,
-            gang_failed: false,
+            is_gang_ending: false,
+            has_failed_member: false,
             durations: AlikeDurations::default(),
         }
     }
 
     pub(crate) fn is_done(&self) -> bool {
-        self.done == self.tasks.len()
+        self.done_count == self.tasks.len()
     }
 
-    pub(crate) fn waiting(&self) -> usize {
+    pub(crate) fn waiting_count(&self) -> usize {
         self.tasks
             .iter()
             .filter(|task| task.state == TaskState::Waiting)
@@ -94,12 +94,12 @@
     pub(crate) accepted_at: TimeMs,
     pub(crate) ended_at: Option<TimeMs>,
     /// When a run of it was over last; its acceptance before the first.
-    pub(crate) last_over_at: TimeMs,
+    pub(crate) last_run_ended_at: TimeMs,
     /// Its pause after starts that were refused.
     pub(crate) backoff: Backoff,
     /// How often its runs were started elsewhere because they stood still.
-    pub(crate) moves: u32,
-    pub(crate) account: JobAccount,
+    pub(crate) stall_restarts: u32,
+    pub(crate) accounting: JobAccount,
 }
 
 impl JobState {
@@ -112,10 +112,10 @@
             recorded_phase: JobPhase::Queued,
             accepted_at,
             ended_at: None,
-            last_over_at: accepted_at,
+            last_run_ended_at: accepted_at,
             backoff: Backoff::default(),
-            moves: 0,
-            account: JobAccount::begin(accepted_at),
+            stall_restarts: 0,
+            accounting: JobAccount::begin(accepted_at),
         }
     }
 
@@ -145,7 +145,7 @@
     }
 
     /// Whether all steps that the given one waits for are done.
-    pub(crate) fn is_step_open(&self, occurrence: u32, step: u32) -> bool {
+    pub(crate) fn is_step_ready(&self, occurrence: u32, step: u32) -> bool {
         let Some(spec) = self.spec(step) else {
             return false;
         };
@@ -156,21 +156,21 @@
     }
 
     /// Notes that a run of the task is placed; gives the number of the run.
-    pub(crate) fn place(&mut self, id: &TaskId, worker: &WorkerName, run: u32) {
+    pub(crate) fn mark_placed(&mut self, id: &TaskId, worker: &WorkerName, run: u32) {
         if self.phase == JobPhase::Queued {
             self.phase = JobPhase::Running;
         }
         let Some(step) = self.step_mut(id.occurrence, id.step) else {
             return;
         };
-        step.placed += 1;
+        step.placed_count += 1;
         let task = &mut step.tasks[id.index as usize];
         task.last_run = run;
         task.state = TaskState::Placed(worker.clone());
     }
 
     /// Takes in the outcome of a run that is over.
-    pub(crate) fn settle(
+    pub(crate) fn apply_outcome(
         &mut self,
         id: &TaskId,
         run: u32,
@@ -191,7 +191,7 @@
         if task.last_run != run || !matches!(task.state, TaskState::Placed(_)) {
             return Settled::Nothing;
         }
-        step.placed -= 1;
+        step.placed_count -= 1;
         if !checkpoint.is_empty() {
             task.checkpoint = Arc::clone(checkpoint);
         }
@@ -229,7 +229,7 @@
 
     /// Takes in that a task, or its whole gang, has done its work, whatever runs of it are placed; tells
     /// whether the job has come to its end by it.
-    pub(crate) fn complete(&mut self, id: &TaskId) -> bool {
+    pub(crate) fn mark_done(&mut self, id: &TaskId) -> bool {
         let is_gang = self.spec(id.step).is_some_and(|spec| spec.is_gang);
         let Some(step) = self.step_mut(id.occurrence, id.step) else {
             return false;
@@ -237,10 +237,10 @@
         let members = (0..).zip(&mut step.tasks);
         for (_, task) in members.filter(|(index, _)| is_gang || *index == id.index) {
             let before = std::mem::replace(&mut task.state, TaskState::Done);
-            step.done += usize::from(before != TaskState::Done);
-            step.placed -= usize::from(matches!(before, TaskState::Placed(_)));
+            step.done_count += usize::from(before != TaskState::Done);
+            step.placed_count -= usize::from(matches!(before, TaskState::Placed(_)));
         }
-        step.gang_ending &= !is_gang;
+        step.is_gang_ending &= !is_gang;
         let is_over = !self.phase.is_final() && self.all_done();
         if is_over {
             self.phase = JobPhase::Completed;
@@ -249,7 +249,7 @@
     }
 
     /// Takes in a crash that counts against a task; tells whether the job has come to its end by it.
-    pub(crate) fn blame(&mut self, id: &TaskId, age_ms: Option<DurationMs>) -> bool {
+    pub(crate) fn count_crash(&mut self, id: &TaskId, age_ms: Option<DurationMs>) -> bool {
         let is_over = self.phase.is_final();
         let Some(step) = self.step_mut(id.occurrence, id.step) else {
             return false;
@@ -257,8 +257,8 @@
         let Some(task) = step.tasks.get_mut(id.index as usize) else {
             return false;
         };
-        task.crashes.note(age_ms);
-        let is_given_up = task.crashes.is_given_up() && !is_over;
+        task.crash_history.note(age_ms);
+        let is_given_up = task.crash_history.is_given_up() && !is_over;
         if is_given_up {
             self.phase = JobPhase::Failed;
         }
@@ -266,14 +266,14 @@
     }
 
     /// Whether callers have to learn another phase than the last record tells.
-    pub(crate) fn has_new_phase(&self) -> bool {
+    pub(crate) fn has_unrecorded_phase(&self) -> bool {
         self.phase != self.recorded_phase
     }
 
     /// Whether no run of it is placed anywhere.
     pub(crate) fn is_idle(&self) -> bool {
         let mut steps = self.occurrences.iter().flatten();
-        steps.all(|step| step.placed == 0)
+        steps.all(|step| step.placed_count == 0)
     }
 
     fn all_done(&self) -> bool {
--- a/ragwortwick-area/src/keeping.rs
+++ b/ragwortwick-area/src/keeping.rs
@@ -106,7 +106,7 @@
         let Some(spec) = job.spec(candidate.step) else {
             return false;
         };
-        let idle_ms = now.since(job.last_over_at.max(candidate.due_at));
+        let idle_ms = now.since(job.last_run_ended_at.max(candidate.due_at));
         let is_left_out = job.is_idle() && idle_ms >= IDLE_MS;
         is_left_out && !spec.is_gang && keeping.give_back(slots, spec, &Bounds::default())
     }
@@ -126,7 +126,7 @@
         let (Some(spec), Some(step)) = (job.spec(candidate.step), step) else {
             return;
         };
-        let count = step.waiting();
+        let count = step.waiting_count();
         let is_wanted = spec.is_gang && self.advice_terms(candidate).is_none();
         if !is_wanted || keeping.gangs_left == 0 || count > keeping.workers_left {
             return;
--- a/ragwortwick-area/src/late_ends.rs
+++ b/ragwortwick-area/src/late_ends.rs
@@ -24,7 +24,7 @@
         if job.phase.is_final() || is_lasting || is_done {
             return;
         }
-        let is_over = job.complete(task);
+        let is_over = job.mark_done(task);
         self.stop_group(now, task, OverWhy::DoneBefore);
         if is_over {
             self.job_over(now, &task.job_id);
--- a/ragwortwick-area/src/looks.rs
+++ b/ragwortwick-area/src/looks.rs
@@ -169,7 +169,7 @@
                     if confirm(now, held, row)
                         && let Some(job) = self.jobs.get_mut(&row.task.job_id)
                     {
-                        job.account.confirmed(now);
+                        job.accounting.confirmed(now);
                     }
                 }
                 _ => orphans.push(row),
--- a/ragwortwick-area/src/losses.rs
+++ b/ragwortwick-area/src/losses.rs
@@ -251,8 +251,10 @@
             let Some(job) = self.jobs.get_mut(&run.task.job_id) else {
                 continue;
             };
-            let is_over = job.blame(&run.task, run.age_ms);
-            let count = job.task(&run.task).map_or(0, |task| task.crashes.count);
+            let is_over = job.count_crash(&run.task, run.age_ms);
+            let count = job
+                .task(&run.task)
+                .map_or(0, |task| task.crash_history.count);
             counts.push((run.task.clone(), count));
             if is_over {
                 self.job_over(now, &run.task.job_id);
--- a/ragwortwick-area/src/orders.rs
+++ b/ragwortwick-area/src/orders.rs
@@ -187,7 +187,7 @@
                 held.started_at = Some(now);
                 worker.look_by(now);
                 if let Some(job) = self.jobs.get_mut(&task.job_id) {
-                    job.account.confirmed(now);
+                    job.accounting.confirmed(now);
                     job.backoff.accepted();
                 }
                 self.share(now, worker_name);
@@ -245,11 +245,11 @@
         let state = job.task(task);
         let held = Held {
             is_resumed: state.is_some_and(|state| !state.checkpoint.is_empty()),
-            crashes: state.map(|state| state.crashes).unwrap_or_default(),
+            crashes: state.map(|state| state.crash_history).unwrap_or_default(),
             ..Held::intended(now, spec, run, priority)
         };
-        job.place(task, worker_name, run);
-        job.account.placed(now);
+        job.mark_placed(task, worker_name, run);
+        job.accounting.placed(now);
         self.records.intend(worker_name, task, run);
         if let Some(worker) = self.workers.get_mut(worker_name) {
             worker.hold(task.clone(), held);
--- a/ragwortwick-area/src/preempt.rs
+++ b/ragwortwick-area/src/preempt.rs
@@ -130,7 +130,9 @@
 
     fn waiting_tasks(&self, candidate: &Candidate) -> Option<(StepSpec, usize)> {
         let job = self.jobs.get(&candidate.job_id)?;
-        let count = job.step(candidate.occurrence, candidate.step)?.waiting();
+        let count = job
+            .step(candidate.occurrence, candidate.step)?
+            .waiting_count();
         Some((job.spec(candidate.step)?.clone(), count))
     }
 
@@ -247,7 +249,7 @@
     fn stop_victim(&mut self, now: TimeMs, victim: &Victim, taker: &JobId) {
         let group = &victim.group;
         if let Some(job) = self.jobs.get_mut(&group.step.job_id) {
-            job.account.displaced_by = Some(taker.clone());
+            job.accounting.displaced_by = Some(taker.clone());
         }
         for worker in &victim.on {
             self.stop_on(now, worker, OverWhy::Displaced, |task| group.holds(task));
--- a/ragwortwick-area/src/records.rs
+++ b/ragwortwick-area/src/records.rs
@@ -178,7 +178,10 @@
         let mut is_full = false;
         let mut jobs = Vec::new();
         for job_id in self.records.ready() {
-            let has_new_phase = self.jobs.get(job_id).is_some_and(JobState::has_new_phase);
+            let has_new_phase = self
+                .jobs
+                .get(job_id)
+                .is_some_and(JobState::has_unrecorded_phase);
             entries += ENTRIES_PER_RECORD + usize::from(has_new_phase);
             is_full = entries > MAX_BATCH_ENTRIES;
             if is_full {
@@ -202,14 +205,14 @@
             let Some(job) = self.jobs.get_mut(job_id) else {
                 continue;
             };
-            let has_new_phase = job.has_new_phase();
+            let has_new_phase = job.has_unrecorded_phase();
             let has_ended = has_new_phase && job.phase.is_final();
             job.recorded_phase = job.phase;
             records.push(StoredProgress {
                 job_id: job_id.clone(),
-                progress: job.progress(),
+                progress: job.to_progress(),
                 has_new_phase,
-                account: has_ended.then(|| job.account.clone()),
+                account: has_ended.then(|| job.accounting.clone()),
             });
         }
         self.records.last_batch += 1;
--- a/ragwortwick-area/src/schedule.rs
+++ b/ragwortwick-area/src/schedule.rs
@@ -106,7 +106,8 @@
         let spec = job.spec(candidate.step)?;
         // A single task that fits nowhere tells the same of its whole step.
         let count = if spec.is_gang {
-            job.step(candidate.occurrence, candidate.step)?.waiting()
+            job.step(candidate.occurrence, candidate.step)?
+                .waiting_count()
         } else {
             1
         };
@@ -118,7 +119,7 @@
         let job = self.jobs.get(&candidate.job_id);
         let step = job.and_then(|job| job.step(candidate.occurrence, candidate.step));
         let mut tasks = step.into_iter().flat_map(|step| &step.tasks);
-        tasks.any(|task| task.crashes.starts_alone())
+        tasks.any(|task| task.crash_history.starts_alone())
     }
 
     /// Places the tasks of a step that wait; tells whether none is left.
@@ -207,7 +208,7 @@
         let mut waiting: Vec<(bool, u32, u32)> = (0..)
             .zip(&step.tasks)
             .filter(|(_, task)| task.state == TaskState::Waiting)
-            .map(|(index, task)| (task.crashes.starts_alone(), index, task.last_run + 1))
+            .map(|(index, task)| (task.crash_history.starts_alone(), index, task.last_run + 1))
             .collect();
         // Those that start alone find fewer places, and must not hold up the others.
         waiting.sort_unstable();
@@ -244,7 +245,7 @@
         room.take(slot, spec.demand());
         if job
             .task(&task)
-            .is_some_and(|state| state.crashes.starts_alone())
+            .is_some_and(|state| state.crash_history.starts_alone())
         {
             room.close(slot);
         }
--- a/ragwortwick-area/src/settle.rs
+++ b/ragwortwick-area/src/settle.rs
@@ -40,7 +40,7 @@
     match outcome {
         Outcome::Done => {
             task.state = TaskState::Done;
-            step.done += 1;
+            step.done_count += 1;
             Settled::Nothing
         }
         Outcome::Failed => {
@@ -76,32 +76,32 @@
             task.checkpoint = Arc::clone(checkpoint);
         }
     }
-    step.tasks[index].state = TaskState::Left;
+    step.tasks[index].state = TaskState::AwaitingGang;
     match outcome {
         Outcome::Done => {
             // Members whose end is not listed yet keep their room on their workers until it is.
             for task in &mut step.tasks {
                 task.state = TaskState::Done;
             }
-            step.done = step.tasks.len();
-            step.placed = 0;
-            step.gang_ending = false;
+            step.done_count = step.tasks.len();
+            step.placed_count = 0;
+            step.is_gang_ending = false;
             return Settled::Nothing;
         }
-        Outcome::Failed => step.gang_failed = true,
+        Outcome::Failed => step.has_failed_member = true,
         Outcome::Void | Outcome::Lost(_) => {}
     }
-    let is_first = !step.gang_ending;
-    step.gang_ending = true;
-    if step.placed > 0 {
+    let is_first = !step.is_gang_ending;
+    step.is_gang_ending = true;
+    if step.placed_count > 0 {
         return if is_first {
             Settled::StopGang
         } else {
             Settled::Nothing
         };
     }
-    step.gang_ending = false;
-    let has_failed = std::mem::take(&mut step.gang_failed);
+    step.is_gang_ending = false;
+    let has_failed = std::mem::take(&mut step.has_failed_member);
     step.gang_failures += u32::from(has_failed);
     for task in &mut step.tasks {
         task.state = TaskState::Waiting;
--- a/ragwortwick-area/src/stalls.rs
+++ b/ragwortwick-area/src/stalls.rs
@@ -111,8 +111,8 @@
         let Some(job) = self.jobs.get_mut(&task.job_id) else {
             return;
         };
-        if still_ms.0 >= lost_ms.0 + AGAIN_MS.0 && job.moves < MOST_MOVES {
-            job.moves += 1;
+        if still_ms.0 >= lost_ms.0 + AGAIN_MS.0 && job.stall_restarts < MOST_MOVES {
+            job.stall_restarts += 1;
             self.stop_group(now, task, OverWhy::Stalled);
         }
     }
--- a/ragwortwick-area/src/stored.rs
+++ b/ragwortwick-area/src/stored.rs
@@ -23,7 +23,7 @@
         for gang in &stored.gangs {
             if let Some(step) = self.step_mut(gang.occurrence, gang.step) {
                 step.gang_failures = gang.failures;
-                step.gang_failed = gang.is_failing;
+                step.has_failed_member = gang.is_failing;
             }
         }
         let mut inherited = Vec::new();
@@ -37,25 +37,25 @@
             };
             state.last_run = task.last_run;
             state.failures = task.failures;
-            state.crashes = CrashRecord {
+            state.crash_history = CrashRecord {
                 count: task.crashes,
                 age_ms: task.crash_age_ms,
             };
             state.checkpoint = Arc::clone(&task.checkpoint);
             if task.is_done {
                 state.state = TaskState::Done;
-                step.done += 1;
+                step.done_count += 1;
             }
             if let Some(worker) = &task.worker {
                 inherited.push((id, worker.clone()));
                 if !task.is_done {
                     state.state = TaskState::Placed(worker.clone());
-                    step.placed += 1;
+                    step.placed_count += 1;
                 }
             }
         }
         self.mend_partial_gangs();
-        self.account = JobAccount::inherit(now, !inherited.is_empty());
+        self.accounting = JobAccount::inherit(now, !inherited.is_empty());
         inherited
     }
 
@@ -64,13 +64,14 @@
         let specs = Arc::clone(&self.record);
         for occurrence in &mut self.occurrences {
             for (step, spec) in occurrence.iter_mut().zip(&specs.steps) {
-                if !spec.is_gang || step.placed == 0 || step.placed == step.tasks.len() {
+                if !spec.is_gang || step.placed_count == 0 || step.placed_count == step.tasks.len()
+                {
                     continue;
                 }
-                step.gang_ending = true;
+                step.is_gang_ending = true;
                 for task in &mut step.tasks {
                     if task.state == TaskState::Waiting {
-                        task.state = TaskState::Left;
+                        task.state = TaskState::AwaitingGang;
                     }
                 }
             }
@@ -78,20 +79,20 @@
     }
 
     /// What the store has to keep, with the worker of each task that may be running.
-    pub(crate) fn progress(&self) -> JobProgress {
+    pub(crate) fn to_progress(&self) -> JobProgress {
         let mut progress = JobProgress {
             phase: self.phase,
             ..JobProgress::default()
         };
         for (occurrence, steps) in (0..).zip(&self.occurrences) {
             for (number, step) in (0..).zip(steps) {
-                let has_failed = step.gang_failures > 0 || step.gang_failed;
+                let has_failed = step.gang_failures > 0 || step.has_failed_member;
                 if has_failed && !self.phase.is_final() {
                     progress.gangs.push(GangProgress {
                         occurrence,
                         step: number,
                         failures: step.gang_failures,
-                        is_failing: step.gang_failed,
+                        is_failing: step.has_failed_member,
                     });
                 }
                 for (index, task) in (0..).zip(&step.tasks) {
@@ -111,8 +112,8 @@
                         index,
                         last_run: task.last_run,
                         failures: task.failures,
-                        crashes: task.crashes.count,
-                        crash_age_ms: task.crashes.age_ms,
+                        crashes: task.crash_history.count,
+                        crash_age_ms: task.crash_history.age_ms,
                         is_done,
                         worker,
                         checkpoint: Arc::clone(&task.checkpoint),
