--- a/ragwortwick-daemon/src/area/action_dispatcher.rs
+++ b/ragwortwick-daemon/src/area/action_dispatcher.rs
@@ -5,72 +5,72 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
 
-use super::batch_writer::Write;
-use super::log_rate_limiter::LogBudget;
+use super::batch_writer::StoreWrite;
+use super::log_rate_limiter::LogRateLimiter;
 use super::metrics::AreaMetrics;
 use super::order_sender::OrderSender;
-use super::unstored_completions::UnstoredEnds;
+use super::unstored_completions::UnstoredCompletions;
 
-/// `Outlets` are where the coordinator's actions go.
-pub(super) struct Outlets {
-    writes: mpsc::UnboundedSender<Write>,
+/// `ActionDispatcher` routes the coordinator's actions to the store, workers, logs and metrics.
+pub(super) struct ActionDispatcher {
+    writes: mpsc::UnboundedSender<StoreWrite>,
     sender: OrderSender,
-    over_lines: LogBudget,
+    run_end_log_limiter: LogRateLimiter,
     metrics: AreaMetrics,
-    pub(super) unstored: UnstoredEnds,
+    pub(super) unstored: UnstoredCompletions,
 }
 
-impl Outlets {
+impl ActionDispatcher {
     pub(super) fn open(
-        writes: mpsc::UnboundedSender<Write>,
+        writes: mpsc::UnboundedSender<StoreWrite>,
         sender: OrderSender,
         metrics: AreaMetrics,
-        unstored: UnstoredEnds,
+        unstored: UnstoredCompletions,
     ) -> Self {
         Self {
             writes,
             sender,
-            over_lines: LogBudget::new("run_over"),
+            run_end_log_limiter: LogRateLimiter::new("run_over"),
             metrics,
             unstored,
         }
     }
 
     /// Sends actions on their way; tells whether the term goes on.
-    pub(super) fn carry_out(&self, batch: Vec<Action>, orders: &mut JoinSet<()>) -> bool {
+    pub(super) fn dispatch(&self, batch: Vec<Action>, orders: &mut JoinSet<()>) -> bool {
         for action in batch {
             match action {
                 Action::Store { batch, records } => {
-                    self.unstored.batched(batch, &records);
-                    self.write(Write::Batch { batch, records });
+                    self.unstored.assign_batch(batch, &records);
+                    self.write(StoreWrite::Batch { batch, records });
                 }
-                Action::Forget(job_id) => self.write(Write::Forget(job_id)),
+                Action::Forget(job_id) => self.write(StoreWrite::DeleteJob(job_id)),
                 Action::Resign => return false,
                 Action::Report(over) => self.report(&over),
                 Action::ReportLoss(lost) => self.report_loss(&lost),
                 order => {
-                    orders.spawn(self.sender.clone().carry_out(order));
+                    orders.spawn(self.sender.clone().execute(order));
                 }
             }
         }
         true
     }
 
-    fn write(&self, write: Write) {
+    fn write(&self, write: StoreWrite) {
         // The writer ends first only if the key is lost, which ends the term as well.
         let _ = self.writes.send(write);
     }
 
     fn report(&self, over: &RunOver) {
         if over.why == OverWhy::Done {
-            self.unstored.heard(&over.task, over.run);
+            self.unstored.add(&over.task, over.run);
         }
         let cause = over.why.to_string();
         let labels = [cause.as_str()];
-        self.metrics.runs_over.with_label_values(&labels).inc();
+        self.metrics.runs_ended.with_label_values(&labels).inc();
         let lost = self.metrics.lost_core_seconds.with_label_values(&labels);
         lost.inc_by(DurationMs(over.lost_core_ms).as_secs_f64());
-        if self.over_lines.admit(self.sender.clock.now()) {
+        if self.run_end_log_limiter.admit(self.sender.clock.now()) {
             log_event!(
                 Info,
                 "run_over",
--- a/ragwortwick-daemon/src/area/batch_writer.rs
+++ b/ragwortwick-daemon/src/area/batch_writer.rs
@@ -10,34 +10,34 @@
 
 use super::coordinator_handler::EventSender;
 use super::metrics::AreaMetrics;
-use super::progress_store::{Deposed, JobStore};
-use super::replica::Replica;
-use super::unstored_completions::UnstoredEnds;
+use super::progress_store::{ProgressStore, TermLost};
+use super::replica::JobReplica;
+use super::unstored_completions::UnstoredCompletions;
 use crate::unix_now;
 
-/// `Write` is a change that the store has to take.
-pub(super) enum Write {
+/// `StoreWrite` is a change that the store has to take.
+pub(super) enum StoreWrite {
     /// Records of jobs.
     Batch {
         batch: u64,
         records: Vec<StoredProgress>,
     },
     /// A job that ended long ago.
-    Forget(JobId),
+    DeleteJob(JobId),
 }
 
-/// `EndedJobs` tells of jobs that came to their end, once that is stored; clones share what was told.
+/// `JobEndReporter` tells of jobs that came to their end, once that is stored; clones share what was told.
 #[derive(Clone)]
-pub(super) struct EndedJobs {
-    replica: Replica,
+pub(super) struct JobEndReporter {
+    replica: JobReplica,
     metrics: AreaMetrics,
     /// Jobs whose end was told, by this term or before it.
     told: Arc<Mutex<HashSet<JobId>>>,
 }
 
-impl EndedJobs {
+impl JobEndReporter {
     /// `told` are the jobs whose end was told before this term.
-    pub(super) fn open(replica: Replica, metrics: AreaMetrics, told: HashSet<JobId>) -> Self {
+    pub(super) fn open(replica: JobReplica, metrics: AreaMetrics, told: HashSet<JobId>) -> Self {
         Self {
             replica,
             metrics,
@@ -53,7 +53,7 @@
         self.told().remove(job_id);
     }
 
-    pub(super) fn tell(&self, stored: &StoredProgress) {
+    pub(super) fn report(&self, stored: &StoredProgress) {
         let phase = stored.progress.phase;
         if !phase.is_final() {
             return;
@@ -71,7 +71,7 @@
         };
         let took_ms = unix_now().since(record.accepted_unix_ms);
         let labels = [record.customer.as_str(), phase.as_str()];
-        let timed = self.metrics.end_seconds.with_label_values(&labels);
+        let timed = self.metrics.job_end_seconds.with_label_values(&labels);
         timed.observe(took_ms.as_secs_f64());
         if let Some(account) = &stored.account {
             log_account(&record, &phase, took_ms, account);
@@ -94,7 +94,7 @@
         ];
         for (part, spent_ms) in parts {
             let labels = [record.customer.as_str(), record.queue.as_str(), part];
-            let timed = self.metrics.part_seconds.with_label_values(&labels);
+            let timed = self.metrics.job_part_seconds.with_label_values(&labels);
             timed.observe(spent_ms.as_secs_f64());
         }
     }
@@ -134,17 +134,17 @@
 /// `BatchWriter` writes a term's batches, several side by side: they hold records of different jobs.
 #[derive(Clone)]
 pub(super) struct BatchWriter {
-    pub(super) job_store: JobStore,
+    pub(super) progress_store: ProgressStore,
     pub(super) events: EventSender,
-    pub(super) ends: EndedJobs,
-    pub(super) unstored: UnstoredEnds,
+    pub(super) ends: JobEndReporter,
+    pub(super) unstored: UnstoredCompletions,
 }
 
 impl BatchWriter {
     /// Writes what comes until the key is lost; tells then.
     pub(super) async fn run(
         self,
-        mut writes: mpsc::UnboundedReceiver<Write>,
+        mut writes: mpsc::UnboundedReceiver<StoreWrite>,
         end: mpsc::Sender<&'static str>,
     ) {
         let mut batches = JoinSet::new();
@@ -152,10 +152,10 @@
             tokio::select! {
                 write = writes.recv() => match write {
                     None => return,
-                    Some(Write::Batch { batch, records }) => {
+                    Some(StoreWrite::Batch { batch, records }) => {
                         batches.spawn(self.clone().store(batch, records));
                     }
-                    Some(Write::Forget(job_id)) => self.forget(&job_id).await,
+                    Some(StoreWrite::DeleteJob(job_id)) => self.forget(&job_id).await,
                 },
                 Some(written) = batches.join_next() => {
                     if !matches!(written, Ok(Ok(()))) {
@@ -167,18 +167,18 @@
         }
     }
 
-    async fn store(self, batch: u64, records: Vec<StoredProgress>) -> Result<(), Deposed> {
-        self.job_store.store(&records).await?;
-        self.unstored.stored(batch);
+    async fn store(self, batch: u64, records: Vec<StoredProgress>) -> Result<(), TermLost> {
+        self.progress_store.store(&records).await?;
+        self.unstored.remove_batch(batch);
         for record in &records {
-            self.ends.tell(record);
+            self.ends.report(record);
         }
         self.events.send(Event::Stored { batch }).await;
         Ok(())
     }
 
     async fn forget(&self, job_id: &JobId) {
-        self.job_store.forget(job_id).await;
+        self.progress_store.delete_job(job_id).await;
         self.ends.forget(job_id);
     }
 }
--- a/ragwortwick-daemon/src/area/coordinator_handler.rs
+++ b/ragwortwick-daemon/src/area/coordinator_handler.rs
@@ -30,30 +30,30 @@
     }
 }
 
-/// `CoordinatorMachine` is the coordinator as a duty.
+/// `CoordinatorHandler` is the coordinator as a duty.
 #[derive(Debug)]
-pub(super) struct CoordinatorMachine {
+pub(super) struct CoordinatorHandler {
     pub(super) coordinator: Coordinator,
     pub(super) actions: mpsc::UnboundedSender<Vec<Action>>,
     pub(super) clock: Clock,
     /// The time of the last call, which the next wakeup counts from.
-    pub(super) last: Now,
-    pub(super) load: Load,
+    pub(super) last_call: Now,
+    pub(super) load: LoadStats,
 }
 
 /// How often the coordinator's load is logged while it has work.
 const LOAD_LOG_MS: DurationMs = DurationMs(10_000);
 
-/// `Load` is what the coordinator did since its last log line.
+/// `LoadStats` is what the coordinator did since its last log line.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Load {
+pub(super) struct LoadStats {
     since: TimeMs,
     calls: u64,
     busy_us: u64,
     longest_us: u64,
 }
 
-impl Load {
+impl LoadStats {
     fn add(&mut self, now: TimeMs, begun: Instant, coordinator: &Coordinator) {
         let span_us = u64::try_from(begun.elapsed().as_micros()).unwrap_or(u64::MAX);
         self.calls += 1;
@@ -79,7 +79,7 @@
     }
 }
 
-impl CoordinatorMachine {
+impl CoordinatorHandler {
     fn hand_out(&self, actions: Vec<Action>) {
         if !actions.is_empty() {
             // The receiver ends with the term; then nobody carries out anything any more.
@@ -88,15 +88,15 @@
     }
 
     fn at(&mut self, now: TimeMs) -> Now {
-        self.last = Now {
+        self.last_call = Now {
             steady: now,
             unix: unix_now(),
         };
-        self.last
+        self.last_call
     }
 }
 
-impl Machine for CoordinatorMachine {
+impl Machine for CoordinatorHandler {
     type Event = Event;
 
     fn on_event(&mut self, now: TimeMs, event: Event) {
@@ -118,6 +118,6 @@
     }
 
     fn next_wakeup(&self) -> Option<TimeMs> {
-        self.coordinator.next_wakeup(self.last)
+        self.coordinator.next_wakeup(self.last_call)
     }
 }
--- a/ragwortwick-daemon/src/area/desired_state_age.rs
+++ b/ragwortwick-daemon/src/area/desired_state_age.rs
@@ -8,13 +8,13 @@
 /// Without a confirmation for so long, versions may be missing; more than one watch that got no answer.
 const UNCONFIRMED_AFTER_MS: DurationMs = DurationMs(2_600);
 
-/// `DesiredAge` remembers when the store last told that nothing newer exists; clones share it.
+/// `DesiredStateAge` remembers when the store last told that nothing newer exists; clones share it.
 #[derive(Clone, Debug, Default)]
-pub(super) struct DesiredAge {
+pub(super) struct DesiredStateAge {
     confirmed_at_ms: Arc<AtomicU64>,
 }
 
-impl DesiredAge {
+impl DesiredStateAge {
     /// Notes that what is in force is the newest.
     pub(super) fn confirm(&self, now: TimeMs) {
         self.confirmed_at_ms.store(now.0, Ordering::Relaxed);
@@ -26,7 +26,7 @@
     }
 
     /// Whether a queue or key that is unknown here does not exist.
-    pub(super) fn is_confirmed(&self, now: TimeMs) -> bool {
+    pub(super) fn is_fresh(&self, now: TimeMs) -> bool {
         self.age_ms(now) <= UNCONFIRMED_AFTER_MS
     }
 }
--- a/ragwortwick-daemon/src/area/desired_state_feed.rs
+++ b/ragwortwick-daemon/src/area/desired_state_feed.rs
@@ -8,8 +8,8 @@
 use ragwortwick_core::{DurationMs, Revision, log_event};
 use tokio::sync::watch;
 
-use super::desired_state_age::DesiredAge;
-use super::feed_monitor::FeedLog;
+use super::desired_state_age::DesiredStateAge;
+use super::feed_monitor::FeedMonitor;
 use super::metrics::AreaMetrics;
 use super::store_health::StoreHealth;
 use crate::Clock;
@@ -21,13 +21,13 @@
 /// Pause after a failed call.
 const FAILED_PAUSE_MS: DurationMs = DurationMs(150);
 
-/// `DesiredFeed` runs the watch.
+/// `DesiredStateFeed` runs the watch.
 #[derive(Debug)]
-pub(super) struct DesiredFeed {
+pub(super) struct DesiredStateFeed {
     pub(super) store: StoreClient,
     pub(super) health: StoreHealth,
     pub(super) desired: watch::Sender<Option<Arc<DesiredState>>>,
-    pub(super) age: DesiredAge,
+    pub(super) age: DesiredStateAge,
     pub(super) clock: Clock,
     pub(super) metrics: AreaMetrics,
 }
@@ -39,10 +39,10 @@
     entries: usize,
 }
 
-impl DesiredFeed {
+impl DesiredStateFeed {
     /// Runs until the process ends.
     pub(super) async fn run(self) {
-        let mut log = FeedLog::open("desired", self.clock, &self.metrics);
+        let mut log = FeedMonitor::open("desired", self.clock, &self.metrics);
         let mut position: Option<Revision> = None;
         loop {
             let result = match position {
@@ -51,12 +51,12 @@
             };
             match result {
                 Ok(answer) => {
-                    log.answered(answer.entries);
+                    log.record_answer(answer.entries);
                     self.age.confirm(self.clock.now());
                     position = Some(answer.as_of);
                 }
                 Err(error) => {
-                    log.failed(&error);
+                    log.record_failure(&error);
                     // The changes of a gap hold every version that it missed, and may be more than
                     // the path carries before the call ends, the next time more still. The newest
                     // version alone is always of one size.
@@ -71,7 +71,7 @@
 
     async fn read(&self) -> Result<Answer, StoreFailure> {
         let page = self.store.page(DESIRED_KEY, None).await;
-        self.health.note(&page);
+        self.health.record(&page);
         let page = page?;
         for item in &page.items {
             self.take(item);
@@ -84,7 +84,7 @@
 
     async fn watch(&self, after: Revision) -> Result<Answer, StoreFailure> {
         let reply = self.store.watch(DESIRED_KEY, after, WATCH_WAIT_MS).await;
-        self.health.note(&reply);
+        self.health.record(&reply);
         let reply = reply?;
         for change in &reply.changes {
             if let Change::Written(item) = change {
--- a/ragwortwick-daemon/src/area/election.rs
+++ b/ragwortwick-daemon/src/area/election.rs
@@ -4,9 +4,9 @@
 use ragwortwick_core::{DurationMs, HostName, Revision, log_event};
 use rand::Rng;
 
-use super::keys::COORDINATOR;
-use super::replica_feed::CoordinatorKey;
-use super::term::{TermParts, Won, serve};
+use super::keys::COORDINATOR_KEY;
+use super::replica_feed::CoordinatorKeyState;
+use super::term::{CoordinatorLease, TermContext, run_term};
 
 /// Time to live of the coordinator's lease: the longest time without one after it dies.
 const LEASE_TTL_MS: DurationMs = DurationMs(2_000);
@@ -30,7 +30,7 @@
 const FAILED_PAUSE_MS: DurationMs = DurationMs(200);
 
 /// Tries to coordinate until the host stops.
-pub(super) async fn run(parts: TermParts, host: HostName, cpu_share: f64) {
+pub(super) async fn run(parts: TermContext, host: HostName, cpu_share: f64) {
     let held_back_ms = held_back_ms(cpu_share);
     let mut key = parts.coordinator_key.clone();
     let mut desired = parts.desired.clone();
@@ -40,7 +40,7 @@
             return;
         }
         let has_desired = desired.borrow_and_update().is_some();
-        let is_free = *key.borrow_and_update() == CoordinatorKey::Free;
+        let is_free = *key.borrow_and_update() == CoordinatorKeyState::Free;
         if !has_desired || !is_free {
             tokio::select! {
                 changed = key.changed() => if changed.is_err() { return },
@@ -51,12 +51,12 @@
         }
         let spread_ms = rand::rng().random_range(0..=TRY_SPREAD_MS);
         tokio::time::sleep(DurationMs(held_back_ms + spread_ms).into()).await;
-        if *key.borrow() != CoordinatorKey::Free {
+        if *key.borrow() != CoordinatorKeyState::Free {
             continue;
         }
         match take(&parts, &host).await {
             Ok(Some(won)) => {
-                serve(&parts, won).await;
+                run_term(&parts, won).await;
                 // The own watch shows the freed key, or its next holder, a little later.
                 tokio::time::sleep(FAILED_PAUSE_MS.into()).await;
             }
@@ -81,32 +81,35 @@
 }
 
 /// Takes the key if it is free; the revision of that change is the term.
-async fn take(parts: &TermParts, host: &HostName) -> Result<Option<Won>, StoreFailure> {
+async fn take(
+    parts: &TermContext,
+    host: &HostName,
+) -> Result<Option<CoordinatorLease>, StoreFailure> {
     let granted_at = parts.clock.now();
     let granted = parts.store.grant_lease(LEASE_TTL_MS).await;
-    parts.health.note(&granted);
+    parts.health.record(&granted);
     let (lease, ttl_ms) = granted?;
     // The lease's number makes the value our own, so that it can be told after a lost answer.
     let value = format!("{{\"host\":\"{host}\",\"lease\":{lease}}}").into_bytes();
     let txn = Txn {
         expect: vec![Expectation {
-            key: COORDINATOR.to_owned(),
+            key: COORDINATOR_KEY.to_owned(),
             revision: Revision(0),
         }],
         writes: vec![WriteItem {
-            key: COORDINATOR.to_owned(),
+            key: COORDINATOR_KEY.to_owned(),
             value: value.clone(),
             lease: Some(lease),
         }],
         removes: Vec::new(),
     };
     let reply = parts.store.change(&txn).await;
-    parts.health.note(&reply);
+    parts.health.record(&reply);
     let revision = match reply {
         Ok(TxnReply::Done(revision)) => Some(revision),
         Ok(TxnReply::Conflict(_)) => None,
         Err(StoreFailure::Unknown(_)) => {
-            let item = parts.store.get(COORDINATOR).await?;
+            let item = parts.store.get(COORDINATOR_KEY).await?;
             item.filter(|item| item.value == value)
                 .map(|item| item.revision)
         }
@@ -116,7 +119,7 @@
         // A lease that holds nothing would only lie about until it ends.
         drop(parts.store.end_lease(lease).await);
     }
-    Ok(revision.map(|revision| Won {
+    Ok(revision.map(|revision| CoordinatorLease {
         lease,
         ttl_ms,
         revision,
--- a/ragwortwick-daemon/src/area/feed_monitor.rs
+++ b/ragwortwick-daemon/src/area/feed_monitor.rs
@@ -7,9 +7,9 @@
 use super::metrics::AreaMetrics;
 use crate::Clock;
 
-/// `FeedLog` follows one reader from answer to answer; a gap makes two lines, however long it is.
+/// `FeedMonitor` follows one reader from answer to answer; a gap makes two lines, however long it is.
 #[derive(Debug)]
-pub(super) struct FeedLog {
+pub(super) struct FeedMonitor {
     feed: &'static str,
     clock: Clock,
     answered_at: TimeMs,
@@ -17,7 +17,7 @@
     failed_calls: IntCounter,
 }
 
-impl FeedLog {
+impl FeedMonitor {
     pub(super) fn open(feed: &'static str, clock: Clock, metrics: &AreaMetrics) -> Self {
         Self {
             feed,
@@ -29,7 +29,7 @@
     }
 
     /// Notes a call without a usable answer.
-    pub(super) fn failed(&mut self, cause: &StoreFailure) {
+    pub(super) fn record_failure(&mut self, cause: &StoreFailure) {
         self.failed_calls.inc();
         self.failures += 1;
         if self.failures == 1 {
@@ -38,7 +38,7 @@
     }
 
     /// Notes an answer and how many changes or items it held.
-    pub(super) fn answered(&mut self, entries: usize) {
+    pub(super) fn record_answer(&mut self, entries: usize) {
         let now = self.clock.now();
         if self.failures > 0 {
             log_event!(
--- a/ragwortwick-daemon/src/area/host.rs
+++ b/ragwortwick-daemon/src/area/host.rs
@@ -10,19 +10,19 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinSet;
 
-use super::desired_state_age::DesiredAge;
-use super::desired_state_feed::DesiredFeed;
+use super::desired_state_age::DesiredStateAge;
+use super::desired_state_feed::DesiredStateFeed;
 use super::election;
-use super::job_api::{self, Front};
+use super::job_api::{self, JobApi};
 use super::job_writer::JobWriter;
-use super::log_rate_limiter::LogBudget;
+use super::log_rate_limiter::LogRateLimiter;
 use super::metrics::{self, AreaMetrics};
 use super::readiness::{self, Readiness};
-use super::replica::Replica;
-use super::replica_feed::{CoordinatorKey, ReplicaFeed};
-use super::settings::{AreaSettings, ms};
+use super::replica::JobReplica;
+use super::replica_feed::{CoordinatorKeyState, ReplicaFeed};
+use super::settings::{AreaSettings, seconds_to_ms};
 use super::store_health::StoreHealth;
-use super::term::TermParts;
+use super::term::TermContext;
 use crate::Clock;
 
 /// How long a stopping host goes on taking connections: the balancer asks once a second and sends
@@ -71,16 +71,16 @@
         let clock = Clock::open();
         let store = StoreClient::open(&settings.store_address);
         let health = StoreHealth::open(clock);
-        let age = DesiredAge::default();
-        let replica = Replica::default();
+        let age = DesiredStateAge::default();
+        let replica = JobReplica::default();
         let metrics = AreaMetrics::open(store.counts()).map_err(AreaHostError::Metrics)?;
         let (stopping, stopping_feed) = watch::channel(false);
         let (desired_sender, desired) = watch::channel::<Option<Arc<DesiredState>>>(None);
-        let (key_sender, coordinator_key) = watch::channel(CoordinatorKey::Unread);
-        let (attach, attach_feed) = mpsc::channel(1);
+        let (key_sender, coordinator_key) = watch::channel(CoordinatorKeyState::Unknown);
+        let (subscriptions, subscription_requests) = mpsc::channel(1);
 
         let mut feeds = JoinSet::new();
-        let desired_feed = DesiredFeed {
+        let desired_feed = DesiredStateFeed {
             store: store.clone(),
             health: health.clone(),
             desired: desired_sender,
@@ -97,17 +97,17 @@
             clock,
             metrics: metrics.clone(),
         };
-        feeds.spawn(replica_feed.run(attach_feed));
+        feeds.spawn(replica_feed.run(subscription_requests));
 
         let mut election = JoinSet::new();
-        let parts = TermParts {
+        let parts = TermContext {
             store: store.clone(),
             health: health.clone(),
             clock,
             limits: settings.limits(),
             advice_address: settings.advice_address.clone(),
             desired: desired.clone(),
-            attach,
+            subscriptions,
             coordinator_key,
             stopping: stopping_feed.clone(),
             replica: replica.clone(),
@@ -119,7 +119,7 @@
             settings.cpu_share,
         ));
 
-        let front = Front {
+        let front = JobApi {
             clock,
             desired: desired.clone(),
             age: age.clone(),
@@ -131,7 +131,7 @@
             },
             stopping: stopping_feed.clone(),
             metrics: metrics.clone(),
-            refusal_lines: LogBudget::new("call_refused"),
+            refusal_log_limiter: LogRateLimiter::new("call_refused"),
         };
         let readiness = Readiness {
             clock,
@@ -188,7 +188,7 @@
         self.stopping.send_replace(true);
         while self.election.join_next().await.is_some() {}
         tokio::time::sleep(STOP_NOTICE_MS.into()).await;
-        let left_ms = ms(self.settings.stop_grace_s)
+        let left_ms = seconds_to_ms(self.settings.stop_grace_s)
             .0
             .saturating_sub(STOP_NOTICE_MS.0 + STOP_RESERVE_MS.0);
         let closing = tokio::time::timeout(DurationMs(left_ms).into(), self.server.close()).await;
--- a/ragwortwick-daemon/src/area/job_api.rs
+++ b/ragwortwick-daemon/src/area/job_api.rs
@@ -20,9 +20,9 @@
 use ragwortwick_http::{Refusal, json_response, read_bytes};
 use tokio::sync::watch;
 
-use super::desired_state_age::DesiredAge;
+use super::desired_state_age::DesiredStateAge;
 use super::job_writer::{JobWriter, WriteOutcome};
-use super::log_rate_limiter::LogBudget;
+use super::log_rate_limiter::LogRateLimiter;
 use super::metrics::AreaMetrics;
 use crate::{Clock, unix_now};
 
@@ -44,26 +44,26 @@
 /// Digits of a job's id.
 const JOB_ID_DIGITS: usize = 16;
 
-/// `Front` is what the callers' side needs; clones share everything.
+/// `JobApi` is what the callers' side needs; clones share everything.
 #[derive(Clone, Debug)]
-pub(super) struct Front {
+pub(super) struct JobApi {
     pub(super) clock: Clock,
     pub(super) desired: watch::Receiver<Option<Arc<DesiredState>>>,
-    pub(super) age: DesiredAge,
+    pub(super) age: DesiredStateAge,
     pub(super) writer: JobWriter,
     pub(super) stopping: watch::Receiver<bool>,
     pub(super) metrics: AreaMetrics,
     /// Bounds the lines on calls that are refused before they name a job.
-    pub(super) refusal_lines: LogBudget,
+    pub(super) refusal_log_limiter: LogRateLimiter,
 }
 
-/// The handler's view of `Front`. A panic ends the process, so no half-changed state is ever seen.
+/// The handler's view of `JobApi`. A panic ends the process, so no half-changed state is ever seen.
 #[derive(Clone, Debug, StateData)]
-struct SharedFront(Arc<AssertUnwindSafe<Front>>);
+struct SharedJobApi(Arc<AssertUnwindSafe<JobApi>>);
 
 /// Routes every path to one handler: which queue a call is for stands in the desired state.
-pub(super) fn router(front: Front) -> Router {
-    let shared = SharedFront(Arc::new(AssertUnwindSafe(front)));
+pub(super) fn router(front: JobApi) -> Router {
+    let shared = SharedJobApi(Arc::new(AssertUnwindSafe(front)));
     let (chain, pipelines) = single_pipeline(single_middleware(StateMiddleware::new(shared)));
     build_router(chain, pipelines, |route| {
         let methods = vec![Method::GET, Method::POST, Method::DELETE];
@@ -75,9 +75,9 @@
 }
 
 async fn handle(state: &mut State) -> SimpleHandlerResult {
-    let front = Arc::clone(&SharedFront::borrow_from(state).0);
+    let front = Arc::clone(&SharedJobApi::borrow_from(state).0);
     let mut response = answer(&front, state).await;
-    if *front.stopping.borrow() || front.writer.health.is_away() {
+    if *front.stopping.borrow() || front.writer.health.is_unavailable() {
         // A caller that keeps its connection would send its next request into the closing of it, or ask
         // a host that learns nothing new, while others could tell it of its job's end.
         let value = HeaderValue::from_static("close");
@@ -97,14 +97,14 @@
     max_body_bytes: usize,
 }
 
-async fn answer(front: &Front, state: &mut State) -> Response<Body> {
+async fn answer(front: &JobApi, state: &mut State) -> Response<Body> {
     let method = Method::borrow_from(state).clone();
     let call = match identify(front, state) {
         Ok(call) => call,
         Err(refusal) => return refuse(front, state, refusal),
     };
     if call.rest.is_empty() && method == Method::GET {
-        let pending = front.writer.replica.pending(&call.queue_name);
+        let pending = front.writer.replica.count_pending(&call.queue_name);
         return json_bytes(state, encode_pending(pending));
     }
     let Some(job_id) = parse_job_id(&call.rest) else {
@@ -119,9 +119,9 @@
 }
 
 /// Refuses a call whose queue or customer is unknown here.
-fn refuse(front: &Front, state: &State, refusal: Refusal) -> Response<Body> {
+fn refuse(front: &JobApi, state: &State, refusal: Refusal) -> Response<Body> {
     let now = front.clock.now();
-    if front.refusal_lines.admit(now) {
+    if front.refusal_log_limiter.admit(now) {
         let desired = front.desired.borrow().clone();
         log_event!(
             Info,
@@ -134,14 +134,14 @@
     }
     // A version that this host hasn't seen may have added what is unknown here. Refused for good,
     // the caller would not ask another host.
-    if front.age.is_confirmed(now) {
+    if front.age.is_fresh(now) {
         refusal.into_response(state)
     } else {
         come_back(state, UNCONFIRMED)
     }
 }
 
-fn identify(front: &Front, state: &State) -> Result<Call, Refusal> {
+fn identify(front: &JobApi, state: &State) -> Result<Call, Refusal> {
     let arrived_at = front.clock.now();
     let headers = HeaderMap::borrow_from(state);
     let uri = Uri::borrow_from(state);
@@ -196,7 +196,7 @@
     is_id.then(|| JobId::new(text))
 }
 
-async fn submit(front: &Front, state: &mut State, call: Call, job_id: JobId) -> Response<Body> {
+async fn submit(front: &JobApi, state: &mut State, call: Call, job_id: JobId) -> Response<Body> {
     let bytes = match read_bytes(state, call.max_body_bytes).await {
         Ok(bytes) => bytes,
         Err(refusal) => return refusal.into_response(state),
@@ -239,7 +239,7 @@
     let begun_at = front.clock.now();
     let steps = record.steps_summary();
     // A version that this host hasn't seen may have dropped the queue or the key.
-    let outcome = if front.age.is_confirmed(begun_at) {
+    let outcome = if front.age.is_fresh(begun_at) {
         front.writer.accept(record, call.until).await
     } else {
         WriteOutcome::NotStored(UNCONFIRMED.to_owned())
@@ -247,7 +247,7 @@
     let customer = call.customer.as_str();
     let counted = front
         .metrics
-        .answers
+        .submissions
         .with_label_values(&[customer, outcome.name()]);
     counted.inc();
     let taken = std::time::Duration::from(front.clock.now().since(begun_at));
@@ -265,7 +265,7 @@
     respond(state, &outcome)
 }
 
-async fn cancel(front: &Front, state: &mut State, call: &Call, job_id: &JobId) -> Response<Body> {
+async fn cancel(front: &JobApi, state: &mut State, call: &Call, job_id: &JobId) -> Response<Body> {
     let outcome = front.writer.cancel(job_id, call.until).await;
     log_event!(
         Info,
@@ -277,9 +277,9 @@
     respond(state, &outcome)
 }
 
-async fn show(front: &Front, state: &mut State, job_id: &JobId) -> Response<Body> {
+async fn show(front: &JobApi, state: &mut State, job_id: &JobId) -> Response<Body> {
     match front.writer.find(job_id).await {
-        Ok(Some(view)) => json_bytes(state, encode_phase(view.shown_phase())),
+        Ok(Some(view)) => json_bytes(state, encode_phase(view.reported_phase())),
         Ok(None) => respond(state, &WriteOutcome::NoSuchJob),
         Err(error) => respond(state, &WriteOutcome::NotStored(error.to_string())),
     }
--- a/ragwortwick-daemon/src/area/job_writer.rs
+++ b/ragwortwick-daemon/src/area/job_writer.rs
@@ -6,8 +6,8 @@
 use ragwortwick_area::JobRecord;
 use ragwortwick_core::{DurationMs, JobId, Revision, TimeMs};
 
-use super::keys::JobKey;
-use super::replica::{JobView, Replica};
+use super::keys::JobKeyKind;
+use super::replica::{JobReplica, JobView};
 use super::store_health::StoreHealth;
 use crate::Clock;
 
@@ -44,7 +44,7 @@
 pub(super) struct JobWriter {
     pub(super) store: StoreClient,
     pub(super) health: StoreHealth,
-    pub(super) replica: Replica,
+    pub(super) replica: JobReplica,
     pub(super) clock: Clock,
 }
 
@@ -52,7 +52,7 @@
     /// Stores a job under "does not exist": the same id handed in again remains one job.
     pub(super) async fn accept(&self, record: JobRecord, until: TimeMs) -> WriteOutcome {
         let record = Arc::new(record);
-        let key = JobKey::Record.of(&record.job_id);
+        let key = JobKeyKind::Record.key_of(&record.job_id);
         let value = match serde_json::to_vec(&*record) {
             Ok(value) => value,
             Err(error) => return WriteOutcome::NotStored(error.to_string()),
@@ -68,7 +68,7 @@
         };
         let outcome = self.settle(&txn, until).await;
         if let Settled::Done(revision) = outcome {
-            self.replica.note_accepted(&record, revision);
+            self.replica.insert_accepted(&record, revision);
         }
         outcome.into()
     }
@@ -76,12 +76,12 @@
     /// Stores the wish to cancel a job.
     pub(super) async fn cancel(&self, job_id: &JobId, until: TimeMs) -> WriteOutcome {
         match self.find(job_id).await {
-            Ok(Some(view)) if view.shown_phase().is_final() => return WriteOutcome::Stored,
+            Ok(Some(view)) if view.reported_phase().is_final() => return WriteOutcome::Stored,
             Ok(Some(_)) => {}
             Ok(None) => return WriteOutcome::NoSuchJob,
             Err(error) => return WriteOutcome::NotStored(error.to_string()),
         }
-        let key = JobKey::Cancel.of(job_id);
+        let key = JobKeyKind::Cancel.key_of(job_id);
         let txn = Txn {
             expect: vec![absent(&key)],
             writes: vec![WriteItem {
@@ -93,7 +93,7 @@
         };
         let outcome: WriteOutcome = self.settle(&txn, until).await.into();
         if outcome == WriteOutcome::Stored {
-            self.replica.note_cancelled(job_id);
+            self.replica.mark_cancelled(job_id);
         }
         outcome
     }
@@ -104,8 +104,8 @@
             return Ok(Some(view));
         }
         // Another host may have accepted it a moment ago.
-        let found = self.store.get(&JobKey::Record.of(job_id)).await;
-        self.health.note(&found);
+        let found = self.store.get(&JobKeyKind::Record.key_of(job_id)).await;
+        self.health.record(&found);
         let Some(item) = found? else {
             return Ok(None);
         };
@@ -116,7 +116,7 @@
 
     /// Sends a create until its outcome is certain or the caller's time is over.
     async fn settle(&self, txn: &Txn, until: TimeMs) -> Settled {
-        if self.health.is_away() {
+        if self.health.is_unavailable() {
             // Nothing is sent, so the caller learns at once, and truly, that nothing was done.
             return Settled::NotDone("the store is out of reach".to_owned());
         }
@@ -124,7 +124,7 @@
         loop {
             let left_ms = until.since(self.clock.now()).max(RETRY_MS);
             let reply = self.store.change_within(txn, left_ms).await;
-            self.health.note(&reply);
+            self.health.record(&reply);
             let error = match reply {
                 Ok(TxnReply::Done(revision)) => return Settled::Done(revision),
                 // It exists: an earlier try of ours took effect, or somebody else's did.
--- a/ragwortwick-daemon/src/area/log_rate_limiter.rs
+++ b/ragwortwick-daemon/src/area/log_rate_limiter.rs
@@ -10,9 +10,9 @@
 /// Length of a window.
 const WINDOW_MS: DurationMs = DurationMs(1_000);
 
-/// `LogBudget` admits lines of one kind; clones share it.
+/// `LogRateLimiter` admits lines of one kind; clones share it.
 #[derive(Clone, Debug)]
-pub(super) struct LogBudget {
+pub(super) struct LogRateLimiter {
     kind: &'static str,
     window: Arc<Mutex<Window>>,
 }
@@ -24,7 +24,7 @@
     left_out: u32,
 }
 
-impl LogBudget {
+impl LogRateLimiter {
     pub(super) fn new(kind: &'static str) -> Self {
         Self {
             kind,
--- a/ragwortwick-daemon/src/area/metrics.rs
+++ b/ragwortwick-daemon/src/area/metrics.rs
@@ -35,15 +35,15 @@
 pub(super) struct AreaMetrics {
     registry: Registry,
     /// Jobs handed in, by customer and outcome.
-    pub(super) answers: IntCounterVec,
+    pub(super) submissions: IntCounterVec,
     /// Time to take a job in, by customer.
     pub(super) accept_seconds: HistogramVec,
     /// Time from acceptance to the end, by customer and phase; counted by the coordinator.
-    pub(super) end_seconds: HistogramVec,
+    pub(super) job_end_seconds: HistogramVec,
     /// Parts of a job's time, by customer, queue and part; counted by the coordinator.
-    pub(super) part_seconds: HistogramVec,
+    pub(super) job_part_seconds: HistogramVec,
     /// Runs that are over, by cause; counted by the coordinator.
-    pub(super) runs_over: IntCounterVec,
+    pub(super) runs_ended: IntCounterVec,
     /// Workers that were lost with runs, by cause; counted by the coordinator.
     pub(super) workers_lost: IntCounterVec,
     /// Work that has to be done again, by cause; counted by the coordinator.
@@ -77,12 +77,12 @@
             registry.register(Box::new(histogram.clone()))?;
             Ok::<_, prometheus::Error>(histogram)
         };
-        let answers = counter(
+        let submissions = counter(
             "ragwortwick_area_jobs_total",
             "Jobs handed in at this host",
             &["customer", "outcome"],
         )?;
-        let runs_over = counter(
+        let runs_ended = counter(
             "ragwortwick_area_runs_over_total",
             "Runs that are over, by this host as coordinator",
             &["cause"],
@@ -109,13 +109,13 @@
             &["customer"],
             &ACCEPT_BUCKETS_S,
         )?;
-        let end_seconds = histogram(
+        let job_end_seconds = histogram(
             "ragwortwick_area_job_end_seconds",
             "Time from a job's acceptance to its end, by this host as coordinator",
             &["customer", "phase"],
             &END_BUCKETS_S,
         )?;
-        let part_seconds = histogram(
+        let job_part_seconds = histogram(
             "ragwortwick_area_job_part_seconds",
             "Time that a job spent in a part of its way, by this host as coordinator",
             &["customer", "queue", "part"],
@@ -136,11 +136,11 @@
         registry.register(Box::new(store_calls.clone()))?;
         Ok(Self {
             registry,
-            answers,
+            submissions,
             accept_seconds,
-            end_seconds,
-            part_seconds,
-            runs_over,
+            job_end_seconds,
+            job_part_seconds,
+            runs_ended,
             workers_lost,
             lost_core_seconds,
             feed_failures,
--- a/ragwortwick-daemon/src/area/order_sender.rs
+++ b/ragwortwick-daemon/src/area/order_sender.rs
@@ -13,7 +13,7 @@
 use tokio::time::timeout;
 
 use super::coordinator_handler::EventSender;
-use super::log_rate_limiter::LogBudget;
+use super::log_rate_limiter::LogRateLimiter;
 use crate::Clock;
 
 /// Longest wait of an order for those before it.
@@ -22,17 +22,17 @@
 /// leaving by then or for a job that was cancelled meanwhile. What waited in vain is decided anew.
 const LANE_WAIT_MS: DurationMs = DurationMs(300);
 
-/// `Lanes` lets one order after the other go to a worker.
+/// `OrderLocks` lets one order after the other go to a worker.
 ///
 /// A worker that gets eight tasks at once would else be sent eight orders over eight connections, of
 /// which all but two are closed again.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Lanes(Arc<Mutex<HashMap<WorkerName, Arc<AsyncMutex<()>>>>>);
+pub(super) struct OrderLocks(Arc<Mutex<HashMap<WorkerName, Arc<AsyncMutex<()>>>>>);
 
-impl Lanes {
-    fn lane(&self, worker: &WorkerName) -> Arc<AsyncMutex<()>> {
-        let mut lanes = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        Arc::clone(lanes.entry(worker.clone()).or_default())
+impl OrderLocks {
+    fn lock_of(&self, worker: &WorkerName) -> Arc<AsyncMutex<()>> {
+        let mut order_locks = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        Arc::clone(order_locks.entry(worker.clone()).or_default())
     }
 }
 
@@ -44,10 +44,10 @@
     pub(super) term: Epoch,
     pub(super) clock: Clock,
     pub(super) events: EventSender,
-    pub(super) lanes: Lanes,
-    pub(super) start_lines: LogBudget,
-    pub(super) stop_lines: LogBudget,
-    pub(super) pace_lines: LogBudget,
+    pub(super) order_locks: OrderLocks,
+    pub(super) start_log_limiter: LogRateLimiter,
+    pub(super) stop_log_limiter: LogRateLimiter,
+    pub(super) pace_log_limiter: LogRateLimiter,
 }
 
 impl OrderSender {
@@ -64,15 +64,15 @@
             term,
             clock,
             events,
-            lanes: Lanes::default(),
-            start_lines: LogBudget::new("run_started"),
-            stop_lines: LogBudget::new("run_stopped"),
-            pace_lines: LogBudget::new("run_paced"),
+            order_locks: OrderLocks::default(),
+            start_log_limiter: LogRateLimiter::new("run_started"),
+            stop_log_limiter: LogRateLimiter::new("run_stopped"),
+            pace_log_limiter: LogRateLimiter::new("run_paced"),
         }
     }
 
     /// Sends one order and reports its outcome as an event.
-    pub(super) async fn carry_out(self, action: Action) {
+    pub(super) async fn execute(self, action: Action) {
         let event = match action {
             Action::Start {
                 worker,
@@ -148,7 +148,7 @@
     /// Waits for the orders to the worker before this one, and makes the call; none if it waited in
     /// vain and nothing was sent.
     async fn in_turn<R>(&self, worker: &WorkerName, call: impl Future<Output = R>) -> Option<R> {
-        let lane = self.lanes.lane(worker);
+        let lane = self.order_locks.lock_of(worker);
         let _turn = timeout(LANE_WAIT_MS.into(), lane.lock()).await.ok()?;
         Some(call.await)
     }
@@ -158,7 +158,7 @@
         let reply = self.in_turn(&worker, call).await;
         let reply = reply.unwrap_or(OrderReply::Unknown);
         if matches!(reply, OrderReply::Accepted { .. }) {
-            if self.start_lines.admit(self.clock.now()) {
+            if self.start_log_limiter.admit(self.clock.now()) {
                 log_event!(
                     Info,
                     "run_started",
@@ -193,7 +193,7 @@
     async fn pace(&self, worker: &WorkerName, address: &str, order: &PaceOrder) -> bool {
         let call = self.workers.pace(worker, address, self.term, order);
         let is_told = self.in_turn(worker, call).await.unwrap_or(false);
-        if self.pace_lines.admit(self.clock.now()) {
+        if self.pace_log_limiter.admit(self.clock.now()) {
             log_event!(
                 Info,
                 "run_paced",
@@ -251,7 +251,7 @@
         let call = self.workers.stop(&worker, address, self.term, &task, run);
         let reply = self.in_turn(&worker, call).await;
         let reply = reply.unwrap_or(OrderReply::Unknown);
-        if self.stop_lines.admit(self.clock.now()) {
+        if self.stop_log_limiter.admit(self.clock.now()) {
             log_event!(
                 Info,
                 "run_stopped",
--- a/ragwortwick-daemon/src/area/progress_store.rs
+++ b/ragwortwick-daemon/src/area/progress_store.rs
@@ -8,39 +8,39 @@
 use ragwortwick_core::{DurationMs, JobId, Revision, log_event};
 use serde::Serialize;
 
-use super::keys::{COORDINATOR, JobKey, progress_key};
+use super::keys::{COORDINATOR_KEY, JobKeyKind, progress_key};
 use super::store_health::StoreHealth;
 
 /// Pause before a write without a certain outcome is sent again.
 const RETRY_MS: DurationMs = DurationMs(100);
 
-/// `Deposed` says that another coordinator holds the key.
+/// `TermLost` says that another coordinator holds the key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Deposed;
+pub(super) struct TermLost;
 
-/// `JobStore` writes the progress of jobs in one term; clones share the revisions.
+/// `ProgressStore` writes the progress of jobs in one term; clones share the revisions.
 #[derive(Clone, Debug)]
-pub(super) struct JobStore {
+pub(super) struct ProgressStore {
     store: StoreClient,
     health: StoreHealth,
     /// Revision of the coordinator's key: it changes as soon as anybody else holds it.
-    term: Revision,
+    term_revision: Revision,
     /// Revision of each job's progress.
     revisions: Arc<Mutex<HashMap<JobId, Revision>>>,
 }
 
-impl JobStore {
+impl ProgressStore {
     /// `open` writes in the term that the key's revision begins, from the given revisions on.
     pub(super) fn open(
         store: StoreClient,
         health: StoreHealth,
-        term: Revision,
+        term_revision: Revision,
         revisions: HashMap<JobId, Revision>,
     ) -> Self {
         Self {
             store,
             health,
-            term,
+            term_revision,
             revisions: Arc::new(Mutex::new(revisions)),
         }
     }
@@ -59,11 +59,11 @@
     /// # Errors
     ///
     /// Fails if the term is over.
-    pub(super) async fn store(&self, records: &[StoredProgress]) -> Result<(), Deposed> {
+    pub(super) async fn store(&self, records: &[StoredProgress]) -> Result<(), TermLost> {
         let txn = self.txn(records);
         loop {
             let reply = self.store.change(&txn).await;
-            self.health.note(&reply);
+            self.health.record(&reply);
             match reply {
                 Ok(TxnReply::Done(revision)) => {
                     let mut revisions = self.revisions();
@@ -73,7 +73,7 @@
                     return Ok(());
                 }
                 Ok(TxnReply::Conflict(items)) => return self.compare(&txn, &items, records),
-                Err(StoreFailure::LeaseGone) => return Err(Deposed),
+                Err(StoreFailure::LeaseGone) => return Err(TermLost),
                 Err(error) => {
                     log_event!(
                         Warn,
@@ -90,8 +90,8 @@
     fn txn(&self, records: &[StoredProgress]) -> Txn {
         let mut txn = Txn {
             expect: vec![Expectation {
-                key: COORDINATOR.to_owned(),
-                revision: self.term,
+                key: COORDINATOR_KEY.to_owned(),
+                revision: self.term_revision,
             }],
             ..Txn::default()
         };
@@ -105,7 +105,7 @@
             });
             txn.writes.push(write(key, &record.progress));
             if record.has_new_phase {
-                let key = JobKey::Phase.of(&record.job_id);
+                let key = JobKeyKind::Phase.key_of(&record.job_id);
                 txn.writes.push(write(key, &record.progress.phase));
             }
         }
@@ -117,11 +117,11 @@
         txn: &Txn,
         items: &[Item],
         records: &[StoredProgress],
-    ) -> Result<(), Deposed> {
+    ) -> Result<(), TermLost> {
         let find = |key: &str| items.iter().find(|item| item.key == key);
-        let is_ours = find(COORDINATOR).is_some_and(|item| item.revision == self.term);
+        let is_ours = find(COORDINATOR_KEY).is_some_and(|item| item.revision == self.term_revision);
         if !is_ours {
-            return Err(Deposed);
+            return Err(TermLost);
         }
         for record in records {
             let key = progress_key(&record.job_id);
@@ -130,7 +130,7 @@
             let Some(item) = find(&key).filter(is_written) else {
                 // Only this term writes these keys, so a third value means that the term is lost.
                 log_event!(Error, "progress_conflict", key = key);
-                return Err(Deposed);
+                return Err(TermLost);
             };
             self.revisions()
                 .insert(record.job_id.clone(), item.revision);
@@ -139,19 +139,22 @@
     }
 
     /// Removes all keys of a job that ended long ago; a failure is tried again by a later term.
-    pub(super) async fn forget(&self, job_id: &JobId) {
-        let mut removes: Vec<String> = JobKey::ALL.iter().map(|part| part.of(job_id)).collect();
+    pub(super) async fn delete_job(&self, job_id: &JobId) {
+        let mut removes: Vec<String> = JobKeyKind::ALL
+            .iter()
+            .map(|part| part.key_of(job_id))
+            .collect();
         removes.push(progress_key(job_id));
         let txn = Txn {
             expect: vec![Expectation {
-                key: COORDINATOR.to_owned(),
-                revision: self.term,
+                key: COORDINATOR_KEY.to_owned(),
+                revision: self.term_revision,
             }],
             writes: Vec::new(),
             removes,
         };
         let reply = self.store.change(&txn).await;
-        self.health.note(&reply);
+        self.health.record(&reply);
         if let Err(error) = reply {
             log_event!(Warn, "job_not_forgotten", job_id = job_id, cause = error);
         }
--- a/ragwortwick-daemon/src/area/readiness.rs
+++ b/ragwortwick-daemon/src/area/readiness.rs
@@ -14,8 +14,8 @@
 use ragwortwick_area::DesiredState;
 use tokio::sync::watch;
 
-use super::desired_state_age::DesiredAge;
-use super::replica::Replica;
+use super::desired_state_age::DesiredStateAge;
+use super::replica::JobReplica;
 use super::store_health::StoreHealth;
 use crate::Clock;
 
@@ -24,8 +24,8 @@
 pub(super) struct Readiness {
     pub(super) clock: Clock,
     pub(super) desired: watch::Receiver<Option<Arc<DesiredState>>>,
-    pub(super) age: DesiredAge,
-    pub(super) replica: Replica,
+    pub(super) age: DesiredStateAge,
+    pub(super) replica: JobReplica,
     pub(super) health: StoreHealth,
     pub(super) stopping: watch::Receiver<bool>,
 }
@@ -37,11 +37,11 @@
             Some("stopping")
         } else if self.desired.borrow().is_none() {
             Some("no desired state")
-        } else if !self.age.is_confirmed(self.clock.now()) {
+        } else if !self.age.is_fresh(self.clock.now()) {
             Some("desired state may be old")
         } else if !self.replica.is_loaded() {
             Some("jobs not read")
-        } else if self.health.is_away() || !self.health.is_near() {
+        } else if self.health.is_unavailable() || !self.health.has_answered_recently() {
             Some("store out of reach")
         } else {
             None
--- a/ragwortwick-daemon/src/area/replica.rs
+++ b/ragwortwick-daemon/src/area/replica.rs
@@ -7,8 +7,8 @@
 use ragwortwick_area::{JobPhase, JobProgress, JobRecord, KnownJob};
 use ragwortwick_core::{ClassName, JobId, Revision, log_event};
 
-use super::keys::{JobKey, progress_of};
-use super::unstored_completions::LeftEnd;
+use super::keys::{JobKeyKind, parse_progress_key};
+use super::unstored_completions::HandedOverCompletion;
 
 /// `JobView` is one job as this host knows it.
 #[derive(Clone, Debug, Default)]
@@ -18,12 +18,12 @@
     pub(super) phase: JobPhase,
     phase_revision: Revision,
     pub(super) is_cancelled: bool,
-    left_ends: Vec<LeftEnd>,
+    handed_over_completions: Vec<HandedOverCompletion>,
 }
 
 impl JobView {
     /// What callers are told.
-    pub(super) fn shown_phase(&self) -> JobPhase {
+    pub(super) fn reported_phase(&self) -> JobPhase {
         if self.is_cancelled && !self.phase.is_final() {
             JobPhase::Cancelled
         } else {
@@ -32,44 +32,44 @@
     }
 }
 
-/// `JobNews` is a change that the coordinator has to learn.
+/// `JobChange` is a change that the coordinator has to learn.
 #[derive(Clone, Debug)]
-pub(super) enum JobNews {
+pub(super) enum JobChange {
     /// A job was accepted.
     Accepted(Arc<JobRecord>),
     /// A coordinator whose term is over left ends that it could not store.
-    EndsLeft(JobId, Vec<LeftEnd>),
+    CompletionsHandedOver(JobId, Vec<HandedOverCompletion>),
     /// A job was cancelled.
     Cancelled(JobId),
 }
 
-impl JobNews {
+impl JobChange {
     /// Place among the news of one reading: a coordinator drops what it hears of a job that it
     /// doesn't know, and would run a cancelled job once its record comes.
     fn rank(&self) -> u8 {
         match self {
             Self::Accepted(_) => 0,
-            Self::EndsLeft(..) => 1,
+            Self::CompletionsHandedOver(..) => 1,
             Self::Cancelled(_) => 2,
         }
     }
 }
 
 /// Progress of jobs as the store has it, with the revision that the next write depends on.
-pub(super) type StoredProgresses = HashMap<JobId, (JobProgress, Revision)>;
+pub(super) type ProgressByJob = HashMap<JobId, (JobProgress, Revision)>;
 
 /// Reads the jobs' progress; what can't be read is logged and left out.
-pub(super) fn stored_progress(items: &[Item]) -> StoredProgresses {
+pub(super) fn parse_progress(items: &[Item]) -> ProgressByJob {
     let known = items.iter().filter_map(|item| {
-        let job_id = progress_of(&item.key)?;
+        let job_id = parse_progress_key(&item.key)?;
         Some((job_id, (read(item)?, item.revision)))
     });
     known.collect()
 }
 
-/// `Replica` is the shared copy; clones share it.
+/// `JobReplica` is the shared copy; clones share it.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Replica(Arc<Mutex<Jobs>>);
+pub(super) struct JobReplica(Arc<Mutex<Jobs>>);
 
 #[derive(Debug, Default)]
 struct Jobs {
@@ -77,7 +77,7 @@
     is_loaded: bool,
 }
 
-impl Replica {
+impl JobReplica {
     fn lock(&self) -> MutexGuard<'_, Jobs> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -95,10 +95,10 @@
     }
 
     /// Counts the accepted jobs of a queue of which nothing has started.
-    pub(super) fn pending(&self, queue: &ClassName) -> u64 {
+    pub(super) fn count_pending(&self, queue: &ClassName) -> u64 {
         let jobs = self.lock();
         let waiting = jobs.views.values().filter(|view| {
-            view.shown_phase() == JobPhase::Queued
+            view.reported_phase() == JobPhase::Queued
                 && view
                     .record
                     .as_ref()
@@ -109,7 +109,7 @@
 
     /// Takes the whole content of the prefix; what is not in it no longer exists. Of each job, the
     /// news tell its acceptance before its cancel.
-    pub(super) fn load(&self, items: &[Item], as_of: Revision) -> Vec<JobNews> {
+    pub(super) fn load(&self, items: &[Item], as_of: Revision) -> Vec<JobChange> {
         let mut news = Vec::new();
         let mut jobs = self.lock();
         // What was written after the listing began is newer than the listing.
@@ -119,17 +119,17 @@
         }
         jobs.is_loaded = true;
         // Keys list a job's cancel before its record.
-        news.sort_by_key(JobNews::rank);
+        news.sort_by_key(JobChange::rank);
         news
     }
 
     /// Takes one change; gives what the coordinator has to learn of it.
-    pub(super) fn apply(&self, change: &Change) -> Option<JobNews> {
+    pub(super) fn apply(&self, change: &Change) -> Option<JobChange> {
         let mut jobs = self.lock();
         match change {
             Change::Written(item) => jobs.write(item),
             Change::Removed { key, .. } => {
-                if let Some((job_id, JobKey::Record)) = JobKey::parse(key) {
+                if let Some((job_id, JobKeyKind::Record)) = JobKeyKind::parse(key) {
                     jobs.views.remove(&job_id);
                 }
                 None
@@ -138,7 +138,7 @@
     }
 
     /// Notes a job that this host has just stored, ahead of the watch.
-    pub(super) fn note_accepted(&self, record: &Arc<JobRecord>, revision: Revision) {
+    pub(super) fn insert_accepted(&self, record: &Arc<JobRecord>, revision: Revision) {
         let mut jobs = self.lock();
         let view = jobs.views.entry(record.job_id.clone()).or_default();
         if view.record.is_none() {
@@ -148,25 +148,25 @@
     }
 
     /// Notes a cancel that this host has just stored, ahead of the watch.
-    pub(super) fn note_cancelled(&self, job_id: &JobId) {
+    pub(super) fn mark_cancelled(&self, job_id: &JobId) {
         let mut jobs = self.lock();
         jobs.views.entry(job_id.clone()).or_default().is_cancelled = true;
     }
 
     /// Ends that were left for the next coordinator.
-    pub(super) fn left_ends(&self) -> Vec<(JobId, Vec<LeftEnd>)> {
+    pub(super) fn handed_over_completions(&self) -> Vec<(JobId, Vec<HandedOverCompletion>)> {
         let jobs = self.lock();
         let with_ends = jobs
             .views
             .iter()
-            .filter(|(_, view)| !view.left_ends.is_empty());
+            .filter(|(_, view)| !view.handed_over_completions.is_empty());
         with_ends
-            .map(|(job_id, view)| (job_id.clone(), view.left_ends.clone()))
+            .map(|(job_id, view)| (job_id.clone(), view.handed_over_completions.clone()))
             .collect()
     }
 
     /// All jobs with the given progress, for a new term of the coordinator.
-    pub(super) fn known_jobs(&self, mut progress: StoredProgresses) -> Vec<(KnownJob, Revision)> {
+    pub(super) fn known_jobs(&self, mut progress: ProgressByJob) -> Vec<(KnownJob, Revision)> {
         let jobs = self.lock();
         jobs.views
             .iter()
@@ -185,11 +185,11 @@
 }
 
 impl Jobs {
-    fn write(&mut self, item: &Item) -> Option<JobNews> {
-        let (job_id, part) = JobKey::parse(&item.key)?;
+    fn write(&mut self, item: &Item) -> Option<JobChange> {
+        let (job_id, part) = JobKeyKind::parse(&item.key)?;
         let view = self.views.entry(job_id.clone()).or_default();
         match part {
-            JobKey::Record => {
+            JobKeyKind::Record => {
                 if item.revision < view.record_revision {
                     return None;
                 }
@@ -198,28 +198,31 @@
                 {
                     // This host stored or read it ahead of the watch; a coordinator here has not
                     // been told yet.
-                    return Some(JobNews::Accepted(Arc::clone(record)));
+                    return Some(JobChange::Accepted(Arc::clone(record)));
                 }
                 let record = read::<JobRecord>(item)?;
                 let record = Arc::new(record);
                 view.record = Some(Arc::clone(&record));
                 view.record_revision = item.revision;
-                Some(JobNews::Accepted(record))
+                Some(JobChange::Accepted(record))
             }
-            JobKey::Phase => {
+            JobKeyKind::Phase => {
                 if item.revision > view.phase_revision {
                     view.phase = read(item)?;
                     view.phase_revision = item.revision;
                 }
                 None
             }
-            JobKey::LeftEnds => {
-                view.left_ends = read(item)?;
-                Some(JobNews::EndsLeft(job_id, view.left_ends.clone()))
+            JobKeyKind::HandedOverCompletions => {
+                view.handed_over_completions = read(item)?;
+                Some(JobChange::CompletionsHandedOver(
+                    job_id,
+                    view.handed_over_completions.clone(),
+                ))
             }
-            JobKey::Cancel => {
+            JobKeyKind::Cancel => {
                 view.is_cancelled = true;
-                Some(JobNews::Cancelled(job_id))
+                Some(JobChange::Cancelled(job_id))
             }
         }
     }
--- a/ragwortwick-daemon/src/area/replica_feed.rs
+++ b/ragwortwick-daemon/src/area/replica_feed.rs
@@ -6,12 +6,12 @@
 use tokio::sync::{mpsc, oneshot, watch};
 
 use super::coordinator_handler::EventSender;
-use super::feed_monitor::FeedLog;
-use super::keys::{COORDINATOR, PROGRESS, SHARED};
+use super::feed_monitor::FeedMonitor;
+use super::keys::{COORDINATOR_KEY, PROGRESS_PREFIX, REPLICATED_PREFIX};
 use super::metrics::AreaMetrics;
-use super::replica::{JobNews, Replica, stored_progress};
+use super::replica::{JobChange, JobReplica, parse_progress};
 use super::store_health::StoreHealth;
-use super::unstored_completions::LeftEnd;
+use super::unstored_completions::HandedOverCompletion;
 use crate::Clock;
 
 /// Longest wait of one watch. A connection that went silent is noticed after this and a margin.
@@ -28,20 +28,20 @@
 /// Pause after a failed call.
 const FAILED_PAUSE_MS: DurationMs = DurationMs(150);
 
-/// `CoordinatorKey` is what the store says of the coordinator.
+/// `CoordinatorKeyState` is what the store says of the coordinator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum CoordinatorKey {
+pub(super) enum CoordinatorKeyState {
     /// Nothing is known yet.
-    Unread,
+    Unknown,
     /// Nobody coordinates.
     Free,
     /// Somebody does, since that revision.
     Held(Revision),
 }
 
-/// `Attach` asks for all jobs as they are now, and for every change from then on.
+/// `Subscribe` asks for all jobs as they are now, and for every change from then on.
 #[derive(Debug)]
-pub(super) struct Attach {
+pub(super) struct Subscribe {
     pub(super) events: EventSender,
     pub(super) reply: oneshot::Sender<Vec<(KnownJob, Revision)>>,
 }
@@ -51,8 +51,8 @@
 pub(super) struct ReplicaFeed {
     pub(super) store: StoreClient,
     pub(super) health: StoreHealth,
-    pub(super) replica: Replica,
-    pub(super) coordinator_key: watch::Sender<CoordinatorKey>,
+    pub(super) replica: JobReplica,
+    pub(super) coordinator_key: watch::Sender<CoordinatorKeyState>,
     pub(super) clock: Clock,
     pub(super) metrics: AreaMetrics,
 }
@@ -60,9 +60,9 @@
 /// `Step` is what one round of the feed brings.
 enum Step {
     /// A term asks for everything, or none ever will again.
-    Attach(Option<Attach>),
+    Subscribe(Option<Subscribe>),
     /// The whole prefix was read.
-    Loaded(Revision, Vec<JobNews>),
+    Loaded(Revision, Vec<JobChange>),
     /// A watch was answered.
     Changed(WatchReply),
     /// A call failed.
@@ -71,30 +71,30 @@
 
 impl ReplicaFeed {
     /// Runs until nobody can ask to be attached any more.
-    pub(super) async fn run(self, mut attach: mpsc::Receiver<Attach>) {
-        let mut log = FeedLog::open("jobs", self.clock, &self.metrics);
+    pub(super) async fn run(self, mut requests: mpsc::Receiver<Subscribe>) {
+        let mut log = FeedMonitor::open("jobs", self.clock, &self.metrics);
         let mut listener: Option<EventSender> = None;
         let mut position: Option<Revision> = None;
         let mut pause_ms = DurationMs(0);
         loop {
             // A new term waits neither for a watch nor for the pause between two.
             let step = tokio::select! {
-                request = attach.recv() => Step::Attach(request),
+                request = requests.recv() => Step::Subscribe(request),
                 result = self.next(position, pause_ms) => result,
             };
             pause_ms = DurationMs(0);
             match step {
-                Step::Attach(None) => return,
-                Step::Attach(Some(request)) => {
-                    position = self.attach_listener(request, &mut listener).await;
+                Step::Subscribe(None) => return,
+                Step::Subscribe(Some(request)) => {
+                    position = self.subscribe(request, &mut listener).await;
                 }
                 Step::Loaded(as_of, news) => {
-                    log.answered(news.len());
+                    log.record_answer(news.len());
                     position = Some(as_of);
                     tell(&mut listener, news).await;
                 }
                 Step::Changed(reply) => {
-                    log.answered(reply.changes.len());
+                    log.record_answer(reply.changes.len());
                     let news = self.take(&reply);
                     tell(&mut listener, news).await;
                     pause_ms = match (reply.changes.is_empty(), &listener) {
@@ -105,7 +105,7 @@
                     position = Some(reply.as_of);
                 }
                 Step::Failed(error) => {
-                    log.failed(&error);
+                    log.record_failure(&error);
                     if error.is_gap() {
                         position = None;
                     } else {
@@ -126,15 +126,18 @@
                 Err(error) => Step::Failed(error),
             };
         };
-        let result = self.store.watch(SHARED, after, WATCH_WAIT_MS).await;
-        self.health.note(&result);
+        let result = self
+            .store
+            .watch(REPLICATED_PREFIX, after, WATCH_WAIT_MS)
+            .await;
+        self.health.record(&result);
         match result {
             Ok(reply) => Step::Changed(reply),
             Err(error) => Step::Failed(error),
         }
     }
 
-    fn take(&self, reply: &WatchReply) -> Vec<JobNews> {
+    fn take(&self, reply: &WatchReply) -> Vec<JobChange> {
         let mut news = Vec::new();
         for change in &reply.changes {
             self.see_coordinator(change);
@@ -143,18 +146,18 @@
         news
     }
 
-    async fn attach_listener(
+    async fn subscribe(
         &self,
-        request: Attach,
+        request: Subscribe,
         listener: &mut Option<EventSender>,
     ) -> Option<Revision> {
         // The term was won after every earlier acceptance, and earlier terms can't write any more, so
         // what is read now holds all of them and the newest progress.
-        let progress = read_all(&self.store, &self.health, PROGRESS);
+        let progress = read_prefix(&self.store, &self.health, PROGRESS_PREFIX);
         let (loaded, progress) = tokio::join!(self.load(), progress);
         match loaded.and_then(|loaded| Ok((loaded, progress?))) {
             Ok(((as_of, _), (items, _))) => {
-                let jobs = self.replica.known_jobs(stored_progress(&items));
+                let jobs = self.replica.known_jobs(parse_progress(&items));
                 if request.reply.send(jobs).is_ok() {
                     *listener = Some(request.events);
                 }
@@ -170,18 +173,20 @@
 
     fn see_coordinator(&self, change: &Change) {
         let seen = match change {
-            Change::Written(item) if item.key == COORDINATOR => CoordinatorKey::Held(item.revision),
-            Change::Removed { key, .. } if key == COORDINATOR => CoordinatorKey::Free,
+            Change::Written(item) if item.key == COORDINATOR_KEY => {
+                CoordinatorKeyState::Held(item.revision)
+            }
+            Change::Removed { key, .. } if key == COORDINATOR_KEY => CoordinatorKeyState::Free,
             _ => return,
         };
         self.coordinator_key.send_replace(seen);
     }
 
-    async fn load(&self) -> Result<(Revision, Vec<JobNews>), StoreFailure> {
-        let (items, as_of) = read_all(&self.store, &self.health, SHARED).await?;
-        let coordinator = items.iter().find(|item| item.key == COORDINATOR);
-        let seen = coordinator.map_or(CoordinatorKey::Free, |item| {
-            CoordinatorKey::Held(item.revision)
+    async fn load(&self) -> Result<(Revision, Vec<JobChange>), StoreFailure> {
+        let (items, as_of) = read_prefix(&self.store, &self.health, REPLICATED_PREFIX).await?;
+        let coordinator = items.iter().find(|item| item.key == COORDINATOR_KEY);
+        let seen = coordinator.map_or(CoordinatorKeyState::Free, |item| {
+            CoordinatorKeyState::Held(item.revision)
         });
         let news = self.replica.load(&items, as_of);
         self.coordinator_key.send_replace(seen);
@@ -191,13 +196,13 @@
 
 /// Reads all pages of a prefix. The revision is that of the first page: what changes while the
 /// others are read is then told by a watch from there, instead of being lost.
-pub(super) async fn read_all(
+pub(super) async fn read_prefix(
     store: &StoreClient,
     health: &StoreHealth,
     prefix: &str,
 ) -> Result<(Vec<Item>, Revision), StoreFailure> {
     let first = store.page(prefix, None).await;
-    health.note(&first);
+    health.record(&first);
     let first = first?;
     let as_of = first.as_of;
     let mut items = first.items;
@@ -207,7 +212,7 @@
             break;
         };
         let page = store.page(prefix, Some(&after)).await;
-        health.note(&page);
+        health.record(&page);
         let page = page?;
         has_more = page.has_more && !page.items.is_empty();
         items.extend(page.items);
@@ -215,7 +220,7 @@
     Ok((items, as_of))
 }
 
-async fn tell(listener: &mut Option<EventSender>, news: Vec<JobNews>) {
+async fn tell(listener: &mut Option<EventSender>, news: Vec<JobChange>) {
     let Some(events) = listener else { return };
     for event in news.into_iter().flat_map(events_of) {
         if !events.send(event).await {
@@ -226,17 +231,17 @@
     }
 }
 
-fn events_of(news: JobNews) -> Vec<Event> {
+fn events_of(news: JobChange) -> Vec<Event> {
     match news {
-        JobNews::Accepted(record) => vec![Event::JobAccepted(record)],
-        JobNews::EndsLeft(job_id, ends) => ends_left(&job_id, &ends),
-        JobNews::Cancelled(job_id) => vec![Event::JobCancelled(job_id)],
+        JobChange::Accepted(record) => vec![Event::JobAccepted(record)],
+        JobChange::CompletionsHandedOver(job_id, ends) => completion_events(&job_id, &ends),
+        JobChange::Cancelled(job_id) => vec![Event::JobCancelled(job_id)],
     }
 }
 
 /// What the coordinator is told of a job's ends that an earlier one left.
-pub(super) fn ends_left(job_id: &JobId, ends: &[LeftEnd]) -> Vec<Event> {
-    let ends = ends.iter().map(|end| end.of_job(job_id));
+pub(super) fn completion_events(job_id: &JobId, ends: &[HandedOverCompletion]) -> Vec<Event> {
+    let ends = ends.iter().map(|end| end.task_and_run(job_id));
     ends.map(|(task, run)| Event::EndLeft { task, run })
         .collect()
 }
--- a/ragwortwick-daemon/src/area/settings.rs
+++ b/ragwortwick-daemon/src/area/settings.rs
@@ -76,9 +76,9 @@
             gang_wait_ms: self.gang_wait_ms,
             reclaim_ms: self.reclaim_ms,
             remote_penalty: self.remote_penalty,
-            checkpoint_ms: ms(self.checkpoint_s),
+            checkpoint_ms: seconds_to_ms(self.checkpoint_s),
             restore_ms: self.restore_ms,
-            retention_ms: ms(self.retention_s),
+            retention_ms: seconds_to_ms(self.retention_s),
             weights: self.weights.clone(),
         }
     }
@@ -94,6 +94,6 @@
     clippy::cast_sign_loss,
     reason = "a negative span counts as none, and spans are hours at most"
 )]
-pub(super) fn ms(seconds: f64) -> DurationMs {
+pub(super) fn seconds_to_ms(seconds: f64) -> DurationMs {
     DurationMs((seconds.max(0.0) * 1_000.0) as u64)
 }
--- a/ragwortwick-daemon/src/area/store_health.rs
+++ b/ragwortwick-daemon/src/area/store_health.rs
@@ -35,7 +35,7 @@
     }
 
     /// Notes how a call went.
-    pub(super) fn note<T>(&self, result: &Result<T, StoreFailure>) {
+    pub(super) fn record<T>(&self, result: &Result<T, StoreFailure>) {
         let is_answer = match result {
             Ok(_) | Err(StoreFailure::LeaseGone) => true,
             Err(failure) => failure.is_gap(),
@@ -57,13 +57,13 @@
     }
 
     /// Whether the store answered lately.
-    pub(super) fn is_near(&self) -> bool {
+    pub(super) fn has_answered_recently(&self) -> bool {
         let last = TimeMs(self.last_answer_ms.load(Ordering::Relaxed));
         self.clock.now().since(last) <= AWAY_AFTER_MS
     }
 
     /// Whether a call for a caller would be in vain.
-    pub(super) fn is_away(&self) -> bool {
+    pub(super) fn is_unavailable(&self) -> bool {
         let last = TimeMs(self.last_answer_ms.load(Ordering::Relaxed));
         self.is_failing() && self.clock.now().since(last) > SILENT_AFTER_MS
     }
--- a/ragwortwick-daemon/src/area/term.rs
+++ b/ragwortwick-daemon/src/area/term.rs
@@ -9,16 +9,16 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::JoinSet;
 
-use super::action_dispatcher::Outlets;
-use super::batch_writer::{BatchWriter, EndedJobs};
-use super::coordinator_handler::{CoordinatorMachine, EventSender, Load};
+use super::action_dispatcher::ActionDispatcher;
+use super::batch_writer::{BatchWriter, JobEndReporter};
+use super::coordinator_handler::{CoordinatorHandler, EventSender, LoadStats};
 use super::metrics::AreaMetrics;
 use super::order_sender::OrderSender;
-use super::progress_store::JobStore;
-use super::replica::Replica;
-use super::replica_feed::{Attach, CoordinatorKey, ends_left};
+use super::progress_store::ProgressStore;
+use super::replica::JobReplica;
+use super::replica_feed::{CoordinatorKeyState, Subscribe, completion_events};
 use super::store_health::StoreHealth;
-use super::unstored_completions::{self, UnstoredEnds};
+use super::unstored_completions::{self, UnstoredCompletions};
 use super::worker_feed::{WorkerFeed, read_workers};
 use crate::{Clock, Duty, unix_now};
 
@@ -34,9 +34,9 @@
 /// How much earlier than the store the holder counts its lease as over.
 const TENURE_MARGIN_MS: DurationMs = DurationMs(200);
 
-/// `TermParts` is what a term works with.
+/// `TermContext` is what a term works with.
 #[derive(Clone, Debug)]
-pub(super) struct TermParts {
+pub(super) struct TermContext {
     pub(super) store: StoreClient,
     pub(super) health: StoreHealth,
     pub(super) clock: Clock,
@@ -44,16 +44,16 @@
     /// Address of the advisor, if the installation has one.
     pub(super) advice_address: Option<String>,
     pub(super) desired: watch::Receiver<Option<Arc<DesiredState>>>,
-    pub(super) attach: mpsc::Sender<Attach>,
-    pub(super) coordinator_key: watch::Receiver<CoordinatorKey>,
+    pub(super) subscriptions: mpsc::Sender<Subscribe>,
+    pub(super) coordinator_key: watch::Receiver<CoordinatorKeyState>,
     pub(super) stopping: watch::Receiver<bool>,
-    pub(super) replica: Replica,
+    pub(super) replica: JobReplica,
     pub(super) metrics: AreaMetrics,
 }
 
-/// `Won` is the key that a term holds.
+/// `CoordinatorLease` is the key that a term holds.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Won {
+pub(super) struct CoordinatorLease {
     pub(super) lease: u64,
     pub(super) ttl_ms: DurationMs,
     pub(super) revision: Revision,
@@ -61,14 +61,14 @@
     pub(super) granted_at: TimeMs,
 }
 
-impl Won {
-    fn tenure_until(&self, renewed_at: TimeMs) -> TimeMs {
+impl CoordinatorLease {
+    fn valid_until(&self, renewed_at: TimeMs) -> TimeMs {
         renewed_at + self.ttl_ms - TENURE_MARGIN_MS
     }
 }
 
 /// Coordinates until the key is lost or the host stops.
-pub(super) async fn serve(parts: &TermParts, won: Won) {
+pub(super) async fn run_term(parts: &TermContext, won: CoordinatorLease) {
     let term = Epoch(won.revision.0);
     log_event!(Info, "term_begins", term = term);
     parts.metrics.is_coordinator.set(1);
@@ -89,7 +89,11 @@
     );
 }
 
-async fn run(parts: &TermParts, won: Won, term: Epoch) -> Result<&'static str, StoreFailure> {
+async fn run(
+    parts: &TermContext,
+    won: CoordinatorLease,
+    term: Epoch,
+) -> Result<&'static str, StoreFailure> {
     let Some(desired) = parts.desired.borrow().clone() else {
         return Ok("no desired state yet");
     };
@@ -103,7 +107,7 @@
     let duty = Duty::spawn("coordinator", RING_LENGTH, parts.clock, machine)
         .map_err(|error| StoreFailure::Refused(error.to_string()))?;
     let events = EventSender(duty.ring());
-    let Some(jobs) = attach(parts, &events).await else {
+    let Some(jobs) = subscribe(parts, &events).await else {
         drop(start);
         duty.close();
         return Ok("the jobs can't be read");
@@ -134,14 +138,14 @@
     );
     let (actions, action_feed) = mpsc::unbounded_channel();
     // The duty's thread waits for this; it can only have gone if the process is ending.
-    let _ = start.send(CoordinatorMachine {
+    let _ = start.send(CoordinatorHandler {
         coordinator,
         actions,
         clock: parts.clock,
-        last: now,
-        load: Load::default(),
+        last_call: now,
+        load: LoadStats::default(),
     });
-    let until = won.tenure_until(won.granted_at);
+    let until = won.valid_until(won.granted_at);
     events.send(Event::Tenure { until }).await;
     tell_left_ends(parts, &events).await;
 
@@ -153,7 +157,7 @@
         clock: parts.clock,
         metrics: parts.metrics.clone(),
     };
-    let job_store = JobStore::open(
+    let progress_store = ProgressStore::open(
         parts.store.clone(),
         parts.health.clone(),
         won.revision,
@@ -164,40 +168,40 @@
     let mut tasks = JoinSet::new();
     tasks.spawn(feed.run(Some(workers_as_of)));
     tasks.spawn(follow_desired(parts.desired.clone(), events.clone()));
-    let unstored = UnstoredEnds::default();
+    let unstored = UnstoredCompletions::default();
     let batch_writer = BatchWriter {
-        job_store,
+        progress_store,
         events: events.clone(),
-        ends: EndedJobs::open(parts.replica.clone(), parts.metrics.clone(), told),
+        ends: JobEndReporter::open(parts.replica.clone(), parts.metrics.clone(), told),
         unstored: unstored.clone(),
     };
     tasks.spawn(batch_writer.run(write_feed, end.clone()));
     tasks.spawn(renew(parts.clone(), won, events.clone(), end));
     let advice_address = parts.advice_address.as_deref();
     let sender = OrderSender::open(parts.clock, advice_address, term, events);
-    let outlets = Outlets::open(writes, sender, parts.metrics.clone(), unstored);
-    let why = hand_out(parts, won, action_feed, &outlets, ended).await;
+    let dispatcher = ActionDispatcher::open(writes, sender, parts.metrics.clone(), unstored);
+    let why = hand_out(parts, won, action_feed, &dispatcher, ended).await;
     tasks.shutdown().await;
     duty.close();
-    leave_unstored(parts, &outlets.unstored);
+    leave_unstored(parts, &dispatcher.unstored);
     Ok(why)
 }
 
 /// Tells of ends that earlier coordinators left.
-async fn tell_left_ends(parts: &TermParts, events: &EventSender) {
-    for (job_id, ends) in parts.replica.left_ends() {
-        for event in ends_left(&job_id, &ends) {
+async fn tell_left_ends(parts: &TermContext, events: &EventSender) {
+    for (job_id, ends) in parts.replica.handed_over_completions() {
+        for event in completion_events(&job_id, &ends) {
             events.send(event).await;
         }
     }
 }
 
 /// Leaves what this term heard and could not store to the next one, which must not wait for it.
-fn leave_unstored(parts: &TermParts, unstored: &UnstoredEnds) {
+fn leave_unstored(parts: &TermContext, unstored: &UnstoredCompletions) {
     let left = unstored.take();
     if !left.is_empty() {
         let (store, health) = (parts.store.clone(), parts.health.clone());
-        tokio::spawn(unstored_completions::leave(store, health, left));
+        tokio::spawn(unstored_completions::hand_over(store, health, left));
     }
 }
 
@@ -213,22 +217,22 @@
 }
 
 /// Reads all jobs as they are now, and has every change from then on sent to the coordinator.
-async fn attach(parts: &TermParts, events: &EventSender) -> Option<Vec<(KnownJob, Revision)>> {
+async fn subscribe(parts: &TermContext, events: &EventSender) -> Option<Vec<(KnownJob, Revision)>> {
     let (reply, jobs) = oneshot::channel();
-    let request = Attach {
+    let request = Subscribe {
         events: events.clone(),
         reply,
     };
-    parts.attach.send(request).await.ok()?;
+    parts.subscriptions.send(request).await.ok()?;
     jobs.await.ok()
 }
 
 /// Carries out the coordinator's actions until the term ends; tells why it did.
 async fn hand_out(
-    parts: &TermParts,
-    won: Won,
+    parts: &TermContext,
+    won: CoordinatorLease,
     mut actions: mpsc::UnboundedReceiver<Vec<Action>>,
-    outlets: &Outlets,
+    dispatcher: &ActionDispatcher,
     mut ended: mpsc::Receiver<&'static str>,
 ) -> &'static str {
     let mut orders = JoinSet::new();
@@ -241,7 +245,7 @@
         tokio::select! {
             batch = actions.recv() => {
                 let Some(batch) = batch else { break "the coordinator has ended" };
-                if !outlets.carry_out(batch, &mut orders) {
+                if !dispatcher.dispatch(batch, &mut orders) {
                     break "a worker knows a later term";
                 }
             }
@@ -249,7 +253,7 @@
             why = ended.recv() => break why.unwrap_or("its tasks have ended"),
             _ = key.changed() => {
                 let seen = *key.borrow_and_update();
-                if let CoordinatorKey::Held(revision) = seen && revision > won.revision {
+                if let CoordinatorKeyState::Held(revision) = seen && revision > won.revision {
                     break "another host holds the key";
                 }
             }
@@ -262,12 +266,12 @@
 
 /// `LateMachine` waits for its coordinator, so that events that come early are kept in the ring.
 struct LateMachine {
-    start: std::sync::mpsc::Receiver<CoordinatorMachine>,
-    machine: Option<CoordinatorMachine>,
+    start: std::sync::mpsc::Receiver<CoordinatorHandler>,
+    machine: Option<CoordinatorHandler>,
 }
 
 impl LateMachine {
-    fn machine(&mut self) -> Option<&mut CoordinatorMachine> {
+    fn machine(&mut self) -> Option<&mut CoordinatorHandler> {
         if self.machine.is_none() {
             self.machine = self.start.recv().ok();
         }
@@ -314,15 +318,20 @@
 
 /// Renews the lease. While the store is away the term goes on without orders; the lease may have
 /// been paused, and is then simply renewed.
-async fn renew(parts: TermParts, won: Won, events: EventSender, end: mpsc::Sender<&'static str>) {
+async fn renew(
+    parts: TermContext,
+    won: CoordinatorLease,
+    events: EventSender,
+    end: mpsc::Sender<&'static str>,
+) {
     loop {
         tokio::time::sleep(RENEW_MS.into()).await;
         let sent_at = parts.clock.now();
         let result = parts.store.keep_lease(won.lease, RENEW_TIMEOUT_MS).await;
-        parts.health.note(&result);
+        parts.health.record(&result);
         match result {
             Ok(()) => {
-                let until = won.tenure_until(sent_at);
+                let until = won.valid_until(sent_at);
                 if !events.send(Event::Tenure { until }).await {
                     return;
                 }
--- a/ragwortwick-daemon/src/area/tests.rs
+++ b/ragwortwick-daemon/src/area/tests.rs
@@ -10,11 +10,11 @@
 use ragwortwick_core::{DurationMs, JobId, Revision, TimeMs};
 
 use super::AreaSettings;
-use super::batch_writer::EndedJobs;
-use super::keys::JobKey;
+use super::batch_writer::JobEndReporter;
+use super::keys::JobKeyKind;
 use super::metrics::AreaMetrics;
-use super::replica::{JobNews, Replica};
-use super::unstored_completions::UnstoredEnds;
+use super::replica::{JobChange, JobReplica};
+use super::unstored_completions::UnstoredCompletions;
 
 fn record(id: &str) -> Arc<JobRecord> {
     Arc::new(JobRecord {
@@ -38,7 +38,7 @@
 
 fn written(record: &JobRecord, revision: u64) -> Change {
     Change::Written(Item {
-        key: JobKey::Record.of(&record.job_id),
+        key: JobKeyKind::Record.key_of(&record.job_id),
         value: serde_json::to_vec(record).expect("a record is written"),
         revision: Revision(revision),
     })
@@ -48,11 +48,11 @@
 /// same host, the watch must still tell it of the job: otherwise the caller's job never starts.
 #[test]
 fn verify_job_stored_here_is_still_news_for_the_coordinator() {
-    let replica = Replica::default();
+    let replica = JobReplica::default();
     let record = record("00000000000000aa");
-    replica.note_accepted(&record, Revision(5));
+    replica.insert_accepted(&record, Revision(5));
     let news = replica.apply(&written(&record, 5));
-    assert!(matches!(news, Some(JobNews::Accepted(_))));
+    assert!(matches!(news, Some(JobChange::Accepted(_))));
 }
 
 /// A caller hands a job in and cancels it, gets an answer for both, and sees the job run all the same.
@@ -61,10 +61,10 @@
 /// dropped the cancel, and then took the job in.
 #[test]
 fn verify_reading_anew_tells_of_a_job_before_its_cancel() {
-    let replica = Replica::default();
+    let replica = JobReplica::default();
     let record = record("00000000000000ac");
     let cancel = Item {
-        key: JobKey::Cancel.of(&record.job_id),
+        key: JobKeyKind::Cancel.key_of(&record.job_id),
         value: Vec::new(),
         revision: Revision(6),
     };
@@ -76,7 +76,7 @@
     let news = replica.load(&items, Revision(7));
     let is_accepted: Vec<bool> = news
         .iter()
-        .map(|item| matches!(item, JobNews::Accepted(_)))
+        .map(|item| matches!(item, JobChange::Accepted(_)))
         .collect();
     assert_eq!(is_accepted, [true, false], "{news:?}");
 }
@@ -85,29 +85,31 @@
 /// and counted all the same, once: engineers who look for a caller's job would else find no end of it.
 #[test]
 fn verify_end_that_the_watch_showed_first_is_counted_once() {
-    let replica = Replica::default();
+    let replica = JobReplica::default();
     let record = record("00000000000000ad");
-    replica.note_accepted(&record, Revision(5));
+    replica.insert_accepted(&record, Revision(5));
     let progress = JobProgress {
         phase: JobPhase::Completed,
         ..JobProgress::default()
     };
     replica.apply(&Change::Written(Item {
-        key: JobKey::Phase.of(&record.job_id),
+        key: JobKeyKind::Phase.key_of(&record.job_id),
         value: serde_json::to_vec(&progress.phase).expect("a phase is written"),
         revision: Revision(6),
     }));
     let metrics = AreaMetrics::open(StoreClient::open("127.0.0.1:1").counts()).expect("metrics");
-    let ends = EndedJobs::open(replica, metrics.clone(), HashSet::new());
+    let ends = JobEndReporter::open(replica, metrics.clone(), HashSet::new());
     let stored = StoredProgress {
         job_id: record.job_id.clone(),
         progress,
         has_new_phase: true,
         account: None,
     };
-    ends.tell(&stored);
-    ends.tell(&stored);
-    let counted = metrics.end_seconds.with_label_values(&["c", "Completed"]);
+    ends.report(&stored);
+    ends.report(&stored);
+    let counted = metrics
+        .job_end_seconds
+        .with_label_values(&["c", "Completed"]);
     assert_eq!(counted.get_sample_count(), 1);
 }
 
@@ -115,7 +117,7 @@
 /// holds: left out, the task is done again; left in for ever, each term would leave more.
 #[test]
 fn verify_a_term_leaves_the_ends_that_no_batch_has_stored() {
-    let unstored = UnstoredEnds::default();
+    let unstored = UnstoredCompletions::default();
     let task = |job_id: &str, index| TaskId {
         job_id: JobId::new(job_id),
         occurrence: 0,
@@ -128,17 +130,17 @@
         has_new_phase: false,
         account: None,
     };
-    unstored.heard(&task("a", 0), 1);
-    unstored.batched(1, &[record_of("a")]);
-    unstored.heard(&task("a", 1), 2);
-    unstored.heard(&task("b", 0), 3);
-    unstored.batched(2, &[record_of("b")]);
-    unstored.stored(1);
+    unstored.add(&task("a", 0), 1);
+    unstored.assign_batch(1, &[record_of("a")]);
+    unstored.add(&task("a", 1), 2);
+    unstored.add(&task("b", 0), 3);
+    unstored.assign_batch(2, &[record_of("b")]);
+    unstored.remove_batch(1);
     let left = unstored.take();
     let runs = |job_id: &str| -> Vec<(TaskId, u32)> {
         let job_id = JobId::new(job_id);
         let ends = left.get(&job_id).into_iter().flatten();
-        ends.map(|end| end.of_job(&job_id)).collect()
+        ends.map(|end| end.task_and_run(&job_id)).collect()
     };
     assert_eq!(runs("a"), [(task("a", 1), 2)]);
     assert_eq!(runs("b"), [(task("b", 0), 3)]);
@@ -148,9 +150,9 @@
 /// A watch that repeats an older revision brings nothing.
 #[test]
 fn verify_older_revision_is_no_news() {
-    let replica = Replica::default();
+    let replica = JobReplica::default();
     let record = record("00000000000000ab");
-    replica.note_accepted(&record, Revision(5));
+    replica.insert_accepted(&record, Revision(5));
     assert!(replica.apply(&written(&record, 4)).is_none());
 }
 
--- a/ragwortwick-daemon/src/area/unstored_completions.rs
+++ b/ragwortwick-daemon/src/area/unstored_completions.rs
@@ -12,7 +12,7 @@
 use ragwortwick_core::{DurationMs, JobId, log_event};
 use serde::{Deserialize, Serialize};
 
-use super::keys::JobKey;
+use super::keys::JobKeyKind;
 use super::store_health::StoreHealth;
 
 /// Pause before ends that could not be left are tried again.
@@ -24,18 +24,18 @@
 /// Jobs whose ends are left in one transaction.
 const JOBS_AT_ONCE: usize = 32;
 
-/// `LeftEnd` is a task of one job that came to its end, and the run that did.
+/// `HandedOverCompletion` is a task of one job that came to its end, and the run that did.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct LeftEnd {
+pub(super) struct HandedOverCompletion {
     occurrence: u32,
     step: u32,
     index: u32,
     run: u32,
 }
 
-impl LeftEnd {
+impl HandedOverCompletion {
     /// The task, of the job that the end was left for, and the run.
-    pub(super) fn of_job(&self, job_id: &JobId) -> (TaskId, u32) {
+    pub(super) fn task_and_run(&self, job_id: &JobId) -> (TaskId, u32) {
         let task = TaskId {
             job_id: job_id.clone(),
             occurrence: self.occurrence,
@@ -46,28 +46,28 @@
     }
 }
 
-/// `UnstoredEnds` are the ends of a term that no stored record has yet; clones share them.
+/// `UnstoredCompletions` are the ends of a term that no stored record has yet; clones share them.
 #[derive(Clone, Debug, Default)]
-pub(super) struct UnstoredEnds(Arc<Mutex<Vec<UnstoredEnd>>>);
+pub(super) struct UnstoredCompletions(Arc<Mutex<Vec<UnstoredCompletion>>>);
 
 #[derive(Debug)]
-struct UnstoredEnd {
+struct UnstoredCompletion {
     job_id: JobId,
-    end: LeftEnd,
+    end: HandedOverCompletion,
     /// The batch that stores it, once there is one.
     batch: Option<u64>,
 }
 
-impl UnstoredEnds {
-    fn lock(&self) -> MutexGuard<'_, Vec<UnstoredEnd>> {
+impl UnstoredCompletions {
+    fn lock(&self) -> MutexGuard<'_, Vec<UnstoredCompletion>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Notes that a run has done its work.
-    pub(super) fn heard(&self, task: &TaskId, run: u32) {
-        self.lock().push(UnstoredEnd {
+    pub(super) fn add(&self, task: &TaskId, run: u32) {
+        self.lock().push(UnstoredCompletion {
             job_id: task.job_id.clone(),
-            end: LeftEnd {
+            end: HandedOverCompletion {
                 occurrence: task.occurrence,
                 step: task.step,
                 index: task.index,
@@ -78,7 +78,7 @@
     }
 
     /// Notes that a batch holds the records of these jobs as they are now.
-    pub(super) fn batched(&self, batch: u64, records: &[StoredProgress]) {
+    pub(super) fn assign_batch(&self, batch: u64, records: &[StoredProgress]) {
         for end in self.lock().iter_mut() {
             let is_held = records.iter().any(|record| record.job_id == end.job_id);
             if is_held && end.batch.is_none() {
@@ -88,13 +88,13 @@
     }
 
     /// Notes that a batch is stored.
-    pub(super) fn stored(&self, batch: u64) {
+    pub(super) fn remove_batch(&self, batch: u64) {
         self.lock().retain(|end| end.batch != Some(batch));
     }
 
     /// Takes all that is left, by job.
-    pub(super) fn take(&self) -> BTreeMap<JobId, Vec<LeftEnd>> {
-        let mut by_job: BTreeMap<JobId, Vec<LeftEnd>> = BTreeMap::new();
+    pub(super) fn take(&self) -> BTreeMap<JobId, Vec<HandedOverCompletion>> {
+        let mut by_job: BTreeMap<JobId, Vec<HandedOverCompletion>> = BTreeMap::new();
         for left in self.lock().drain(..) {
             by_job.entry(left.job_id).or_default().push(left.end);
         }
@@ -103,17 +103,17 @@
 }
 
 /// Leaves ends in the store, where the next coordinator finds them; gives up after a while.
-pub(super) async fn leave(
+pub(super) async fn hand_over(
     store: StoreClient,
     health: StoreHealth,
-    ends: BTreeMap<JobId, Vec<LeftEnd>>,
+    ends: BTreeMap<JobId, Vec<HandedOverCompletion>>,
 ) {
-    let ends: Vec<(JobId, Vec<LeftEnd>)> = ends.into_iter().collect();
+    let ends: Vec<(JobId, Vec<HandedOverCompletion>)> = ends.into_iter().collect();
     for jobs in ends.chunks(JOBS_AT_ONCE) {
         let writes = jobs.iter().filter_map(|(job_id, ends)| {
             let value = serde_json::to_vec(ends).ok()?;
             Some(WriteItem {
-                key: JobKey::LeftEnds.of(job_id),
+                key: JobKeyKind::HandedOverCompletions.key_of(job_id),
                 value,
                 lease: None,
             })
@@ -130,7 +130,7 @@
 async fn write(store: &StoreClient, health: &StoreHealth, txn: &Txn) -> bool {
     for _ in 0..TRIES {
         let reply = store.change(txn).await;
-        health.note(&reply);
+        health.record(&reply);
         if reply.is_ok() {
             return true;
         }
--- a/ragwortwick-daemon/src/area/worker_feed.rs
+++ b/ragwortwick-daemon/src/area/worker_feed.rs
@@ -9,9 +9,9 @@
 use ragwortwick_core::{DurationMs, Revision, WorkerName, log_event};
 
 use super::coordinator_handler::EventSender;
-use super::feed_monitor::FeedLog;
+use super::feed_monitor::FeedMonitor;
 use super::metrics::AreaMetrics;
-use super::replica_feed::read_all;
+use super::replica_feed::read_prefix;
 use super::store_health::StoreHealth;
 use crate::Clock;
 
@@ -43,7 +43,7 @@
     store: &StoreClient,
     health: &StoreHealth,
 ) -> Result<(Vec<WorkerEntry>, Revision), StoreFailure> {
-    let (items, as_of) = read_all(store, health, WORKERS_PREFIX).await?;
+    let (items, as_of) = read_prefix(store, health, WORKERS_PREFIX).await?;
     Ok((items.iter().filter_map(entry).collect(), as_of))
 }
 
@@ -67,7 +67,7 @@
 impl WorkerFeed {
     /// Runs until the term ends.
     pub(super) async fn run(mut self, mut position: Option<Revision>) {
-        let mut log = FeedLog::open("workers", self.clock, &self.metrics);
+        let mut log = FeedMonitor::open("workers", self.clock, &self.metrics);
         loop {
             let result = match position {
                 None => self.read().await,
@@ -75,7 +75,7 @@
             };
             match result {
                 Ok(next) => {
-                    log.answered(self.known.len());
+                    log.record_answer(self.known.len());
                     position = next;
                     if !self.events.send(Event::WorkersFresh).await {
                         return;
@@ -83,7 +83,7 @@
                     tokio::time::sleep(PAUSE_MS.into()).await;
                 }
                 Err(error) => {
-                    log.failed(&error);
+                    log.record_failure(&error);
                     if error.is_gap() {
                         position = None;
                     } else {
@@ -110,7 +110,7 @@
 
     async fn watch(&mut self, after: Revision) -> Result<Option<Revision>, StoreFailure> {
         let reply = self.store.watch(WORKERS_PREFIX, after, WATCH_WAIT_MS).await;
-        self.health.note(&reply);
+        self.health.record(&reply);
         let reply = reply?;
         if reply.changes.is_empty() && !self.known.is_empty() {
             return self.read().await;
