--- a/ragwortwick-area/src/crashes.rs
+++ b/ragwortwick-area/src/crashes.rs
@@ -7,7 +7,7 @@
 
 use ragwortwick_core::{DurationMs, TimeMs};
 
-use crate::held::Held;
+use crate::allocation::Held;
 use crate::job::TaskId;
 use crate::worker::Worker;
 
--- a/ragwortwick-area/src/job_state.rs
+++ b/ragwortwick-area/src/job_state.rs
@@ -8,8 +8,8 @@
 use crate::backoff::Backoff;
 use crate::crashes::CrashRecord;
 use crate::job::{JobRecord, StepSpec, TaskId};
+use crate::outcome::{Outcome, Settled, settle_member, settle_single};
 use crate::progress::JobPhase;
-use crate::settle::{Outcome, Settled, settle_member, settle_single};
 use crate::speed::AlikeDurations;
 
 /// `TaskState` is where one task stands.
--- a/ragwortwick-area/src/keeping.rs
+++ b/ragwortwick-area/src/keeping.rs
@@ -9,10 +9,10 @@
 
 use ragwortwick_core::{DurationMs, TimeMs, WorkerName};
 
+use crate::allocation::Held;
 use crate::candidates::Candidate;
 use crate::coordinator::Coordinator;
 use crate::headroom;
-use crate::held::Held;
 use crate::job::{Resources, StepSpec};
 use crate::packing::{Bounds, Slot, racks};
 use crate::room::Room;
--- a/ragwortwick-area/src/leaving.rs
+++ b/ragwortwick-area/src/leaving.rs
@@ -7,8 +7,8 @@
 use ragwortwick_core::{DurationMs, TimeMs};
 
 use crate::account::OverWhy;
+use crate::allocation::HeldPhase;
 use crate::coordinator::Coordinator;
-use crate::held::HeldPhase;
 use crate::job::TaskId;
 
 /// Time for a stop to reach a leaving worker and its end to be listed, before the worker is gone.
--- a/ragwortwick-area/src/losses.rs
+++ b/ragwortwick-area/src/losses.rs
@@ -4,12 +4,12 @@
 
 use ragwortwick_core::{DurationMs, RackName, TimeMs, WorkerName, common};
 
+use crate::allocation::{Held, HeldPhase};
 use crate::coordinator::Coordinator;
 use crate::crashes::{RunAtLoss, is_explained, suspects};
-use crate::held::{Held, HeldPhase};
 use crate::job::TaskId;
 use crate::messages::Action;
-use crate::settle::Outcome;
+use crate::outcome::Outcome;
 use crate::worker::Worker;
 
 /// How far apart workers may fall silent that were lost together: a closed connection shows at once.
--- a/ragwortwick-area/src/looks.rs
+++ b/ragwortwick-area/src/polls.rs
@@ -5,12 +5,12 @@
 
 use ragwortwick_core::{DurationMs, TimeMs, WorkerName};
 
+use crate::allocation::{Held, HeldPhase};
 use crate::coordinator::{Coordinator, RENEWAL_AFTER_TENURE_MS};
-use crate::held::{Held, HeldPhase};
 use crate::job::{Resources, TaskId};
 use crate::losses::SilenceKind;
 use crate::messages::{Action, LookFailure, RunningTask};
-use crate::settle::Outcome;
+use crate::outcome::Outcome;
 use crate::worker::LookState;
 
 /// How long a worker may wait for an end before it answers a look.
--- a/ragwortwick-area/src/preempt.rs
+++ b/ragwortwick-area/src/preempt.rs
@@ -5,10 +5,10 @@
 use ragwortwick_core::{CustomerName, JobId, TimeMs, WorkerName};
 
 use crate::account::OverWhy;
+use crate::allocation::Held;
 use crate::candidates::Candidate;
 use crate::coordinator::Coordinator;
 use crate::displacement::{Plan, cheapest, find};
-use crate::held::Held;
 use crate::job::{Resources, StepId, StepSpec, TaskId};
 use crate::packing::{Bounds, Slot};
 use crate::room::Room;
--- a/ragwortwick-area/src/inherit.rs
+++ b/ragwortwick-area/src/recovery.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use crate::account::OverWhy;
+use crate::allocation::{Held, HeldPhase};
 use crate::coordinator::{Coordinator, KnownJob, Now, RENEWAL_AFTER_TENURE_MS, steady_of};
-use crate::held::{Held, HeldPhase};
 use crate::job_state::JobState;
 use crate::worker::{Worker, longest_lease};
 
--- a/ragwortwick-area/src/ends.rs
+++ b/ragwortwick-area/src/run_ends.rs
@@ -5,13 +5,13 @@
 use ragwortwick_core::{DurationMs, TimeMs, WorkerName};
 
 use crate::account::OverWhy;
+use crate::allocation::HeldPhase;
 use crate::coordinator::Coordinator;
-use crate::held::HeldPhase;
 use crate::job::TaskId;
 use crate::job_state::TaskState;
 use crate::losses::WorkerLoss;
 use crate::messages::{Action, EndKind, EndedTask, Look, RunOver};
-use crate::settle::{Outcome, Settled};
+use crate::outcome::{Outcome, Settled};
 use crate::worker::LookState;
 
 /// Failed runs in a row, of any jobs, after which a worker is suspected.
--- a/ragwortwick-area/src/sharing.rs
+++ b/ragwortwick-area/src/sharing.rs
@@ -8,8 +8,8 @@
 
 use ragwortwick_core::{DurationMs, TimeMs, WorkerName};
 
+use crate::allocation::HeldPhase;
 use crate::coordinator::Coordinator;
-use crate::held::HeldPhase;
 use crate::job::StepSpec;
 use crate::messages::Action;
 use crate::worker::Worker;
--- a/ragwortwick-area/src/speed.rs
+++ b/ragwortwick-area/src/speed.rs
@@ -6,8 +6,8 @@
 
 use ragwortwick_core::{DurationMs, TimeMs, WorkerName};
 
+use crate::allocation::Held;
 use crate::coordinator::Coordinator;
-use crate::held::Held;
 use crate::job::TaskId;
 use crate::watch::Watch;
 
--- a/ragwortwick-area/src/stalls.rs
+++ b/ragwortwick-area/src/stalls.rs
@@ -9,8 +9,8 @@
 use ragwortwick_core::{DurationMs, TimeMs, WorkerName};
 
 use crate::account::OverWhy;
+use crate::allocation::{Held, HeldPhase};
 use crate::coordinator::Coordinator;
-use crate::held::{Held, HeldPhase};
 use crate::job::TaskId;
 use crate::job_state::TaskState;
 use crate::messages::Look;
--- a/ragwortwick-area/src/orders.rs
+++ b/ragwortwick-area/src/starts.rs
@@ -5,11 +5,11 @@
 use ragwortwick_core::{DurationMs, JobId, TimeMs, WorkerName};
 
 use crate::account::OverWhy;
+use crate::allocation::{Held, HeldPhase};
 use crate::coordinator::Coordinator;
-use crate::held::{Held, HeldPhase};
 use crate::job::TaskId;
 use crate::messages::{Action, OrderReply, RefusalCause};
-use crate::settle::Outcome;
+use crate::outcome::Outcome;
 use crate::watch::Watch;
 use crate::worker::Worker;
 
--- a/ragwortwick-area/src/stops.rs
+++ b/ragwortwick-area/src/stops.rs
@@ -5,11 +5,11 @@
 use ragwortwick_core::{DurationMs, TimeMs, WorkerName};
 
 use crate::account::OverWhy;
+use crate::allocation::HeldPhase;
 use crate::coordinator::Coordinator;
-use crate::held::HeldPhase;
 use crate::job::TaskId;
 use crate::messages::{Action, OrderReply, RefusalCause};
-use crate::settle::Outcome;
+use crate::outcome::Outcome;
 
 /// Pause before a stop that was confirmed, but whose end was never listed, is looked after.
 const STOP_LISTED_MS: DurationMs = DurationMs(150);
--- a/ragwortwick-area/src/worker.rs
+++ b/ragwortwick-area/src/worker.rs
@@ -5,7 +5,7 @@
 
 use ragwortwick_core::{DurationMs, TimeMs, WorkerName};
 
-use crate::held::{Held, HeldPhase};
+use crate::allocation::{Held, HeldPhase};
 use crate::job::{Resources, TaskId};
 use crate::limits::Limits;
 use crate::losses::{Silence, SilenceKind};
