--- a/ragwortwick-area/src/advice.rs
+++ b/ragwortwick-area/src/advice.rs
@@ -191,7 +191,7 @@
         self.advice.asked_at = Some(now);
         let known = self.advice.steps.entry(question.step.clone());
         known.or_default().last_at = Some(now);
-        self.actions.push(Action::AskAdvice {
+        self.actions.push(Action::RequestAdvice {
             step: question.step,
             workers: question.workers,
             answer_ms: question.answer_ms,
--- a/ragwortwick-area/src/allocation.rs
+++ b/ragwortwick-area/src/allocation.rs
@@ -10,20 +10,20 @@
 use crate::sharing::Role;
 use crate::watch::Watch;
 
-/// `HeldPhase` tells how sure it is that a run is on its worker.
+/// `AllocationPhase` tells how sure it is that a run is on its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum HeldPhase {
+pub(crate) enum AllocationPhase {
     /// Its start waits until the store has the record of it.
-    Intended,
+    AwaitingRecord,
     /// Its start was sent and not answered yet.
-    Ordered {
+    StartSent {
         /// When the start was last sent.
         sent_at: TimeMs,
         /// Whether an answer is still awaited.
         in_flight: bool,
     },
     /// An earlier coordinator recorded it; a look will tell.
-    Inherited,
+    Recovered,
     /// The worker confirmed the start.
     Running {
         /// When the confirmation arrived.
@@ -42,9 +42,9 @@
     },
 }
 
-impl HeldPhase {
+impl AllocationPhase {
     /// A stop that was not sent yet.
-    pub(crate) fn to_stop(why: OverWhy) -> Self {
+    pub(crate) fn stop_pending(why: OverWhy) -> Self {
         Self::Stopping {
             why,
             sent_at: None,
@@ -54,12 +54,12 @@
     }
 }
 
-/// `Held` is one run that takes room on a worker.
+/// `Allocation` is one run that takes room on a worker.
 #[derive(Clone, Debug)]
-pub(crate) struct Held {
+pub(crate) struct Allocation {
     pub(crate) run: u32,
     pub(crate) need: Resources,
-    pub(crate) phase: HeldPhase,
+    pub(crate) phase: AllocationPhase,
     /// Zero comes first; what has a higher number may be preempted.
     pub(crate) priority: u32,
     /// When the start was decided.
@@ -90,13 +90,13 @@
     pub(crate) pace_told: Option<u32>,
 }
 
-impl Held {
+impl Allocation {
     /// A run whose start waits to be stored.
     pub(crate) fn intended(now: TimeMs, spec: &StepSpec, run: u32, priority: u32) -> Self {
         Self {
             run,
             need: spec.demand(),
-            phase: HeldPhase::Intended,
+            phase: AllocationPhase::AwaitingRecord,
             priority,
             placed_at: now,
             started_at: None,
@@ -115,7 +115,7 @@
     }
 
     pub(crate) fn is_stopping(&self) -> bool {
-        matches!(self.phase, HeldPhase::Stopping { .. })
+        matches!(self.phase, AllocationPhase::Stopping { .. })
     }
 
     /// How long it has run in vain if it is over now without having done its work.
--- a/ragwortwick-area/src/coordinator.rs
+++ b/ragwortwick-area/src/coordinator.rs
@@ -60,9 +60,9 @@
     pub unix: TimeMs,
 }
 
-/// `KnownJob` is a job as a new coordinator finds it in the store.
+/// `RecoveredJob` is a job as a new coordinator finds it in the store.
 #[derive(Clone, Debug)]
-pub struct KnownJob {
+pub struct RecoveredJob {
     /// The job.
     pub record: Arc<JobRecord>,
     /// How far it is, if a coordinator stored that.
@@ -120,7 +120,7 @@
         now: Now,
         limits: Limits,
         desired: Arc<DesiredState>,
-        jobs: Vec<KnownJob>,
+        jobs: Vec<RecoveredJob>,
         entries: Vec<WorkerEntry>,
     ) -> Self {
         let mut coordinator = Self {
@@ -164,14 +164,14 @@
     /// `on_event` takes in one event.
     pub fn on_event(&mut self, now: Now, event: Event) -> Vec<Action> {
         match event {
-            Event::Desired(desired) => self.desired = desired,
-            Event::WorkerSeen(entry) => self.worker_seen(now.steady, entry),
-            Event::WorkerGone(name) => self.worker_gone(&name),
-            Event::WorkersFresh => self.workers_fresh_at = Some(now.steady),
+            Event::DesiredState(desired) => self.desired = desired,
+            Event::WorkerUpdated(entry) => self.worker_seen(now.steady, entry),
+            Event::WorkerRemoved(name) => self.worker_gone(&name),
+            Event::WorkersConfirmed => self.workers_fresh_at = Some(now.steady),
             Event::JobAccepted(record) => self.job_accepted(now, record),
             Event::JobCancelled(job_id) => self.cancel(now.steady, &job_id),
-            Event::Stored { batch } => self.stored(now.steady, batch),
-            Event::EndLeft { task, run } => self.end_left(now.steady, &task, run),
+            Event::BatchStored { batch } => self.stored(now.steady, batch),
+            Event::CompletionHandedOver { task, run } => self.end_left(now.steady, &task, run),
             Event::StartReplied {
                 worker,
                 task,
@@ -184,17 +184,17 @@
                 run,
                 reply,
             } => self.stop_replied(now.steady, &worker, &task, run, reply),
-            Event::Looked {
+            Event::PollReplied {
                 worker,
                 sent_at,
-                look,
-            } => self.looked(now.steady, &worker, sent_at, &look),
-            Event::LookFailed { worker, failure } => self.look_failed(now.steady, &worker, failure),
+                report,
+            } => self.looked(now.steady, &worker, sent_at, &report),
+            Event::PollFailed { worker, failure } => self.look_failed(now.steady, &worker, failure),
             Event::PaceFailed { worker, task, run } => self.pace_failed(&worker, &task, run),
-            Event::Advised { step, asked, reply } => {
+            Event::AdviceReplied { step, asked, reply } => {
                 self.advice_came(now.steady, step, asked, reply);
             }
-            Event::Tenure { until } => self.tenure_until = until,
+            Event::LeaseExtended { until } => self.tenure_until = until,
         }
         self.wants_pass = true;
         self.wants_looks = true;
--- a/ragwortwick-area/src/crashes.rs
+++ b/ragwortwick-area/src/crashes.rs
@@ -7,7 +7,7 @@
 
 use ragwortwick_core::{DurationMs, TimeMs};
 
-use crate::allocation::Held;
+use crate::allocation::Allocation;
 use crate::job::TaskId;
 use crate::worker::Worker;
 
@@ -104,7 +104,7 @@
     }
 }
 
-impl Held {
+impl Allocation {
     /// Whether it begins or has just begun.
     fn is_starting(&self, now: TimeMs) -> bool {
         self.started_at.is_none_or(|at| now.since(at) < STARTING_MS)
--- a/ragwortwick-area/src/job_state.rs
+++ b/ragwortwick-area/src/job_state.rs
@@ -8,7 +8,7 @@
 use crate::backoff::Backoff;
 use crate::crashes::CrashRecord;
 use crate::job::{JobRecord, StepSpec, TaskId};
-use crate::outcome::{Outcome, Settled, settle_member, settle_single};
+use crate::outcome::{FollowUp, RunOutcome, settle_member, settle_single};
 use crate::progress::JobPhase;
 use crate::speed::AlikeDurations;
 
@@ -174,22 +174,22 @@
         &mut self,
         id: &TaskId,
         run: u32,
-        outcome: Outcome,
+        outcome: RunOutcome,
         checkpoint: &Arc<str>,
         attempts: u32,
-    ) -> Settled {
+    ) -> FollowUp {
         let Some(spec) = self.spec(id.step).cloned() else {
-            return Settled::Nothing;
+            return FollowUp::None;
         };
         let is_over = self.phase.is_final();
         let Some(step) = self.step_mut(id.occurrence, id.step) else {
-            return Settled::Nothing;
+            return FollowUp::None;
         };
         let Some(task) = step.tasks.get_mut(id.index as usize) else {
-            return Settled::Nothing;
+            return FollowUp::None;
         };
         if task.last_run != run || !matches!(task.state, TaskState::Placed(_)) {
-            return Settled::Nothing;
+            return FollowUp::None;
         }
         step.placed_count -= 1;
         if !checkpoint.is_empty() {
@@ -197,7 +197,7 @@
         }
         // What has to last starts again however it ended.
         let outcome = match outcome {
-            Outcome::Done | Outcome::Failed if spec.is_long_running => Outcome::Void,
+            RunOutcome::Done | RunOutcome::Failed if spec.is_long_running => RunOutcome::NoVerdict,
             outcome => outcome,
         };
         let settled = if spec.is_gang {
@@ -206,16 +206,16 @@
             settle_single(step, id.index as usize, outcome, attempts)
         };
         if is_over {
-            return Settled::Nothing;
+            return FollowUp::None;
         }
         match settled {
-            Settled::JobOver => {
+            FollowUp::EndJob => {
                 self.phase = JobPhase::Failed;
-                Settled::JobOver
+                FollowUp::EndJob
             }
             _ if self.all_done() => {
                 self.phase = JobPhase::Completed;
-                Settled::JobOver
+                FollowUp::EndJob
             }
             settled => settled,
         }
--- a/ragwortwick-area/src/keeping.rs
+++ b/ragwortwick-area/src/keeping.rs
@@ -9,7 +9,7 @@
 
 use ragwortwick_core::{DurationMs, TimeMs, WorkerName};
 
-use crate::allocation::Held;
+use crate::allocation::Allocation;
 use crate::candidates::Candidate;
 use crate::coordinator::Coordinator;
 use crate::headroom;
@@ -173,7 +173,7 @@
     }
 }
 
-impl Held {
+impl Allocation {
     /// How long it is likely to go on.
     fn rest_ms(&self, now: TimeMs, clock_ms: Option<u64>) -> DurationMs {
         if self.is_stopping() {
--- a/ragwortwick-area/src/leaving.rs
+++ b/ragwortwick-area/src/leaving.rs
@@ -7,7 +7,7 @@
 use ragwortwick_core::{DurationMs, TimeMs};
 
 use crate::account::OverWhy;
-use crate::allocation::HeldPhase;
+use crate::allocation::AllocationPhase;
 use crate::coordinator::Coordinator;
 use crate::job::TaskId;
 
@@ -27,7 +27,7 @@
                 continue;
             }
             for (task, held) in &worker.held {
-                if matches!(held.phase, HeldPhase::Running { .. }) {
+                if matches!(held.phase, AllocationPhase::Running { .. }) {
                     leaving.push(task.clone());
                 }
             }
--- a/ragwortwick-area/src/lib.rs
+++ b/ragwortwick-area/src/lib.rs
@@ -44,7 +44,7 @@
 
 pub use account::{JobAccount, Loss, OverWhy};
 pub use check::JobProblem;
-pub use coordinator::{Coordinator, KnownJob, Now};
+pub use coordinator::{Coordinator, Now, RecoveredJob};
 pub use desired::{Customer, DesiredState, Queue};
 pub use job::{
     AdvisorTiming, JobRecord, QueuePolicy, Resources, Schedule, StepId, StepSpec, TaskId,
@@ -52,8 +52,8 @@
 pub use limits::{Limits, Weights};
 pub use losses::{Silence, SilenceKind, WorkerLoss, WorkerLost};
 pub use messages::{
-    Action, AdviceReply, EndKind, EndedTask, Event, Look, LookFailure, OrderReply, RefusalCause,
-    RunOver, RunningTask, StoredProgress, WorkerEntry,
+    Action, AdviceReply, EndKind, EndedTask, Event, OrderReply, PollFailure, ProgressRecord,
+    RefusalCause, RunEnded, RunningTask, WorkerEntry, WorkerReport,
 };
 pub use progress::{GangProgress, JobPhase, JobProgress, TaskProgress};
 pub use records::MAX_BATCH_RECORDS;
--- a/ragwortwick-area/src/losses.rs
+++ b/ragwortwick-area/src/losses.rs
@@ -4,12 +4,12 @@
 
 use ragwortwick_core::{DurationMs, RackName, TimeMs, WorkerName, common};
 
-use crate::allocation::{Held, HeldPhase};
+use crate::allocation::{Allocation, AllocationPhase};
 use crate::coordinator::Coordinator;
 use crate::crashes::{RunAtLoss, is_explained, suspects};
 use crate::job::TaskId;
 use crate::messages::Action;
-use crate::outcome::Outcome;
+use crate::outcome::RunOutcome;
 use crate::worker::Worker;
 
 /// How far apart workers may fall silent that were lost together: a closed connection shows at once.
@@ -138,9 +138,9 @@
 impl Worker {
     /// How long a run had been going when the worker was last known to be there; none if it is not
     /// known when the run began. An order without an answer may have begun just then.
-    fn age_of(&self, held: &Held) -> Option<DurationMs> {
+    fn age_of(&self, held: &Allocation) -> Option<DurationMs> {
         match (held.phase, held.started_at) {
-            (HeldPhase::Inherited, _) => None,
+            (AllocationPhase::Recovered, _) => None,
             (_, None) => Some(DurationMs(0)),
             (_, Some(started_at)) => Some(self.last_there().since(started_at)),
         }
@@ -149,7 +149,7 @@
     /// What was or may have been running there when it was last there.
     fn runs_at_loss(&self) -> Vec<RunAtLoss> {
         let held = self.held.iter();
-        let sent = held.filter(|(_, held)| held.phase != HeldPhase::Intended);
+        let sent = held.filter(|(_, held)| held.phase != AllocationPhase::AwaitingRecord);
         let runs = sent.map(|(task, held)| RunAtLoss {
             task: task.clone(),
             age_ms: self.age_of(held),
@@ -163,7 +163,7 @@
         let is_unseen = self
             .held
             .values()
-            .all(|held| held.phase == HeldPhase::Inherited);
+            .all(|held| held.phase == AllocationPhase::Recovered);
         let unseen = Silence {
             since: now,
             kind: SilenceKind::Unseen,
@@ -198,7 +198,7 @@
             runs: worker.runs_at_loss(),
         };
         for (task, run) in self.jobs_on(name) {
-            self.resolve(now, name, &task, run, Outcome::Lost(lost.cause));
+            self.resolve(now, name, &task, run, RunOutcome::Lost(lost.cause));
         }
         if self.workers.get(name).is_some_and(Worker::is_forgettable) {
             self.workers.remove(name);
@@ -233,7 +233,7 @@
             WorkerLoss::Crashed | WorkerLoss::Left | WorkerLoss::OutOfReach => Vec::new(),
         };
         let runs = lost.runs.into_iter().map(|run| (run.task, run.age_ms));
-        self.actions.push(Action::ReportLoss(WorkerLost {
+        self.actions.push(Action::LogWorkerLoss(WorkerLost {
             worker: lost.worker,
             rack: lost.rack,
             loss: lost.cause,
--- a/ragwortwick-area/src/messages.rs
+++ b/ragwortwick-area/src/messages.rs
@@ -85,9 +85,9 @@
     pub checkpoint: Arc<str>,
 }
 
-/// `Look` is a worker's answer to a look at what runs there.
+/// `WorkerReport` is a worker's answer to a look at what runs there.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Look {
+pub struct WorkerReport {
     /// The worker's clock.
     pub clock_ms: u64,
     /// What runs.
@@ -96,9 +96,9 @@
     pub ended: Vec<EndedTask>,
 }
 
-/// `LookFailure` is why a look told nothing.
+/// `PollFailure` is why a look told nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LookFailure {
+pub enum PollFailure {
     /// The address answered that this life of the worker is over.
     WrongLife,
     /// The worker knows a coordinator of a later term.
@@ -162,24 +162,24 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A desired state came into force.
-    Desired(Arc<DesiredState>),
+    DesiredState(Arc<DesiredState>),
     /// A worker wrote its entry.
-    WorkerSeen(WorkerEntry),
+    WorkerUpdated(WorkerEntry),
     /// A worker's entry was removed.
-    WorkerGone(WorkerName),
+    WorkerRemoved(WorkerName),
     /// The list of workers was confirmed as complete up to now.
-    WorkersFresh,
+    WorkersConfirmed,
     /// A job was accepted.
     JobAccepted(Arc<JobRecord>),
     /// A caller cancelled a job.
     JobCancelled(JobId),
     /// The store has kept the batch.
-    Stored {
+    BatchStored {
         /// Number of the batch.
         batch: u64,
     },
     /// An earlier coordinator heard that a run did its work, and could not store it.
-    EndLeft {
+    CompletionHandedOver {
         /// The task.
         task: TaskId,
         /// Its run.
@@ -208,20 +208,20 @@
         reply: OrderReply,
     },
     /// A look was answered.
-    Looked {
+    PollReplied {
         /// The worker.
         worker: WorkerName,
         /// When the look was sent.
         sent_at: TimeMs,
         /// What it told.
-        look: Look,
+        report: WorkerReport,
     },
     /// A look was not answered, or by another life of the worker.
-    LookFailed {
+    PollFailed {
         /// The worker.
         worker: WorkerName,
         /// Why it told nothing.
-        failure: LookFailure,
+        failure: PollFailure,
     },
     /// A worker did not confirm the pace of a run.
     PaceFailed {
@@ -233,7 +233,7 @@
         run: u32,
     },
     /// The advisor answered a question, or did not.
-    Advised {
+    AdviceReplied {
         /// The step that was asked about.
         step: StepId,
         /// The workers that were asked about.
@@ -242,15 +242,15 @@
         reply: AdviceReply,
     },
     /// The lease as coordinator holds until then.
-    Tenure {
+    LeaseExtended {
         /// Last moment at which orders may be sent.
         until: TimeMs,
     },
 }
 
-/// `StoredProgress` is one record to store.
+/// `ProgressRecord` is one record to store.
 #[derive(Clone, Debug)]
-pub struct StoredProgress {
+pub struct ProgressRecord {
     /// The job.
     pub job_id: JobId,
     /// Its progress.
@@ -261,9 +261,9 @@
     pub account: Option<JobAccount>,
 }
 
-/// `RunOver` tells that a run is over, for the log.
+/// `RunEnded` tells that a run is over, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RunOver {
+pub struct RunEnded {
     /// The worker.
     pub worker: WorkerName,
     /// The task.
@@ -281,12 +281,12 @@
 /// `Action` is what the coordinator asks for.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Store the records in one transaction and report `Event::Stored`.
+    /// Store the records in one transaction and report `Event::BatchStored`.
     Store {
         /// Number of the batch.
         batch: u64,
         /// At most `MAX_BATCH_RECORDS` records.
-        records: Vec<StoredProgress>,
+        records: Vec<ProgressRecord>,
     },
     /// Tell a worker to start a run.
     Start {
@@ -308,7 +308,7 @@
         ticket: Option<Arc<str>>,
     },
     /// Let a run work at a share of its speed, and report `Event::PaceFailed` if that is not confirmed.
-    Pace {
+    SetPace {
         /// The worker.
         worker: WorkerName,
         /// Its address.
@@ -320,8 +320,8 @@
         /// From 0 to 100.
         percent: u32,
     },
-    /// Ask the advisor which of the workers may run a step, and report `Event::Advised`.
-    AskAdvice {
+    /// Ask the advisor which of the workers may run a step, and report `Event::AdviceReplied`.
+    RequestAdvice {
         /// The step.
         step: StepId,
         /// The workers.
@@ -341,7 +341,7 @@
         run: u32,
     },
     /// Renew a worker's lease and ask what runs there.
-    Look {
+    Poll {
         /// The worker.
         worker: WorkerName,
         /// Its address.
@@ -349,16 +349,16 @@
         /// End of the lease on the worker's clock; none leaves it as it is.
         lease_until_ms: Option<u64>,
         /// Highest number of an end that is stored.
-        noted: u64,
+        acked_end: u64,
         /// How long the worker may wait for an end before it answers.
         wait_ms: DurationMs,
     },
     /// Log that a run is over.
-    Report(RunOver),
+    LogRunEnd(RunEnded),
     /// Log that a worker is lost, with runs.
-    ReportLoss(WorkerLost),
+    LogWorkerLoss(WorkerLost),
     /// A worker knows a coordinator of a later term: stop coordinating.
     Resign,
     /// Forget the records of a job that ended long ago.
-    Forget(JobId),
+    DeleteJob(JobId),
 }
--- a/ragwortwick-area/src/outcome.rs
+++ b/ragwortwick-area/src/outcome.rs
@@ -5,56 +5,56 @@
 use crate::job_state::{StepState, TaskState};
 use crate::losses::WorkerLoss;
 
-/// `Outcome` is how a run is over for good.
+/// `RunOutcome` is how a run is over for good.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Outcome {
+pub(crate) enum RunOutcome {
     /// It did its work.
     Done,
     /// It failed.
     Failed,
     /// It ended without a verdict on the task: stopped, lapsed or never begun.
-    Void,
+    NoVerdict,
     /// It was lost with its worker.
     Lost(WorkerLoss),
 }
 
-/// `Settled` tells what a run's outcome means for the rest of the job.
+/// `FollowUp` tells what a run's outcome means for the rest of the job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Settled {
+pub(crate) enum FollowUp {
     /// Nothing else has to be done.
-    Nothing,
+    None,
     /// The other members of the gang have to stop.
     StopGang,
     /// The job has come to its end; runs that are left have to stop.
-    JobOver,
+    EndJob,
 }
 
 /// A task on its own: it is done, waits again, or has failed too often.
 pub(crate) fn settle_single(
     step: &mut StepState,
     index: usize,
-    outcome: Outcome,
+    outcome: RunOutcome,
     attempts: u32,
-) -> Settled {
+) -> FollowUp {
     let task = &mut step.tasks[index];
     match outcome {
-        Outcome::Done => {
+        RunOutcome::Done => {
             task.state = TaskState::Done;
             step.done_count += 1;
-            Settled::Nothing
+            FollowUp::None
         }
-        Outcome::Failed => {
+        RunOutcome::Failed => {
             task.state = TaskState::Waiting;
             task.failures += 1;
             if task.failures >= attempts {
-                Settled::JobOver
+                FollowUp::EndJob
             } else {
-                Settled::Nothing
+                FollowUp::None
             }
         }
-        Outcome::Void | Outcome::Lost(_) => {
+        RunOutcome::NoVerdict | RunOutcome::Lost(_) => {
             task.state = TaskState::Waiting;
-            Settled::Nothing
+            FollowUp::None
         }
     }
 }
@@ -63,12 +63,12 @@
 pub(crate) fn settle_member(
     step: &mut StepState,
     index: usize,
-    outcome: Outcome,
+    outcome: RunOutcome,
     checkpoint: &Arc<str>,
     attempts: u32,
-) -> Settled {
+) -> FollowUp {
     if step.is_done() {
-        return Settled::Nothing;
+        return FollowUp::None;
     }
     if !checkpoint.is_empty() {
         // The checkpoint of any member is good for all, and all have to resume from the same one.
@@ -78,7 +78,7 @@
     }
     step.tasks[index].state = TaskState::AwaitingGang;
     match outcome {
-        Outcome::Done => {
+        RunOutcome::Done => {
             // Members whose end is not listed yet keep their room on their workers until it is.
             for task in &mut step.tasks {
                 task.state = TaskState::Done;
@@ -86,18 +86,18 @@
             step.done_count = step.tasks.len();
             step.placed_count = 0;
             step.is_gang_ending = false;
-            return Settled::Nothing;
+            return FollowUp::None;
         }
-        Outcome::Failed => step.has_failed_member = true,
-        Outcome::Void | Outcome::Lost(_) => {}
+        RunOutcome::Failed => step.has_failed_member = true,
+        RunOutcome::NoVerdict | RunOutcome::Lost(_) => {}
     }
     let is_first = !step.is_gang_ending;
     step.is_gang_ending = true;
     if step.placed_count > 0 {
         return if is_first {
-            Settled::StopGang
+            FollowUp::StopGang
         } else {
-            Settled::Nothing
+            FollowUp::None
         };
     }
     step.is_gang_ending = false;
@@ -107,8 +107,8 @@
         task.state = TaskState::Waiting;
     }
     if has_failed && step.gang_failures >= attempts {
-        Settled::JobOver
+        FollowUp::EndJob
     } else {
-        Settled::Nothing
+        FollowUp::None
     }
 }
--- a/ragwortwick-area/src/polls.rs
+++ b/ragwortwick-area/src/polls.rs
@@ -5,13 +5,13 @@
 
 use ragwortwick_core::{DurationMs, TimeMs, WorkerName};
 
-use crate::allocation::{Held, HeldPhase};
+use crate::allocation::{Allocation, AllocationPhase};
 use crate::coordinator::{Coordinator, RENEWAL_AFTER_TENURE_MS};
 use crate::job::{Resources, TaskId};
 use crate::losses::SilenceKind;
-use crate::messages::{Action, LookFailure, RunningTask};
-use crate::outcome::Outcome;
-use crate::worker::LookState;
+use crate::messages::{Action, PollFailure, RunningTask};
+use crate::outcome::RunOutcome;
+use crate::worker::PollState;
 
 /// How long a worker may wait for an end before it answers a look.
 ///
@@ -45,7 +45,7 @@
         let urgent_wait_ms = DurationMs(self.workers.len() as u64 * URGENT_LOOK_MS_PER_WORKER)
             .clamp(URGENT_LOOK_WAIT_MS, LOOK_WAIT_MS);
         for (name, worker) in &mut self.workers {
-            let LookState::Idle { next_at } = worker.look else {
+            let PollState::Idle { next_at } = worker.look else {
                 continue;
             };
             if worker.entry.address.is_empty() || !worker.wants_look() {
@@ -60,8 +60,8 @@
                 || worker.held.values().any(|held| {
                     matches!(
                         held.phase,
-                        HeldPhase::Inherited
-                            | HeldPhase::Stopping {
+                        AllocationPhase::Recovered
+                            | AllocationPhase::Stopping {
                                 confirmed_at: Some(_),
                                 ..
                             }
@@ -87,13 +87,13 @@
             if lease_until_ms.is_some() {
                 worker.note_lease_sent(now, &self.limits);
             }
-            worker.look = LookState::InFlight;
+            worker.look = PollState::InFlight;
             worker.told = worker.told.max(worker.stored);
-            self.actions.push(Action::Look {
+            self.actions.push(Action::Poll {
                 worker: name.clone(),
                 address: Arc::clone(&worker.entry.address),
                 lease_until_ms,
-                noted: worker.stored,
+                acked_end: worker.stored,
                 wait_ms,
             });
         }
@@ -104,19 +104,19 @@
         &mut self,
         now: TimeMs,
         worker_name: &WorkerName,
-        failure: LookFailure,
+        failure: PollFailure,
     ) {
         let kind = match failure {
-            LookFailure::Fenced => {
+            PollFailure::Fenced => {
                 self.actions.push(Action::Resign);
                 return;
             }
-            LookFailure::WrongLife => {
+            PollFailure::WrongLife => {
                 self.life_over(now, worker_name);
                 return;
             }
-            LookFailure::Closed => SilenceKind::Closed,
-            LookFailure::NoAnswer => SilenceKind::Unanswered,
+            PollFailure::Closed => SilenceKind::Closed,
+            PollFailure::NoAnswer => SilenceKind::Unanswered,
         };
         if let Some(worker) = self.workers.get_mut(worker_name) {
             worker.fall_silent(now, kind);
@@ -125,7 +125,7 @@
             } else {
                 SILENT_LOOK_MS
             };
-            worker.look = LookState::Idle {
+            worker.look = PollState::Idle {
                 next_at: now + pause_ms,
             };
         }
@@ -150,11 +150,11 @@
                 continue;
             }
             let is_gone = match held.phase {
-                HeldPhase::Intended | HeldPhase::Ordered { .. } => false,
+                AllocationPhase::AwaitingRecord | AllocationPhase::StartSent { .. } => false,
                 // The look carried our token: no order of an earlier coordinator begins any more.
-                HeldPhase::Inherited => true,
-                HeldPhase::Running { since } => since < sent_at,
-                HeldPhase::Stopping { confirmed_at, .. } => {
+                AllocationPhase::Recovered => true,
+                AllocationPhase::Running { since } => since < sent_at,
+                AllocationPhase::Stopping { confirmed_at, .. } => {
                     confirmed_at.is_some_and(|at| at < sent_at)
                 }
             };
@@ -191,20 +191,23 @@
             });
         }
         for (task, run) in vanished {
-            self.resolve(now, worker_name, &task, run, Outcome::Void);
+            self.resolve(now, worker_name, &task, run, RunOutcome::NoVerdict);
         }
     }
 }
 
 /// A run is seen on its worker; tells whether it was in doubt until now.
-fn confirm(now: TimeMs, held: &mut Held, row: &RunningTask) -> bool {
+fn confirm(now: TimeMs, held: &mut Allocation, row: &RunningTask) -> bool {
     held.load = row.load;
     if !row.checkpoint.is_empty() {
         held.checkpoint = Arc::clone(&row.checkpoint);
     }
-    let was_in_doubt = matches!(held.phase, HeldPhase::Inherited | HeldPhase::Ordered { .. });
+    let was_in_doubt = matches!(
+        held.phase,
+        AllocationPhase::Recovered | AllocationPhase::StartSent { .. }
+    );
     if was_in_doubt {
-        held.phase = HeldPhase::Running { since: now };
+        held.phase = AllocationPhase::Running { since: now };
         held.started_at.get_or_insert(now);
     }
     was_in_doubt
--- a/ragwortwick-area/src/preempt.rs
+++ b/ragwortwick-area/src/preempt.rs
@@ -5,7 +5,7 @@
 use ragwortwick_core::{CustomerName, JobId, TimeMs, WorkerName};
 
 use crate::account::OverWhy;
-use crate::allocation::Held;
+use crate::allocation::Allocation;
 use crate::candidates::Candidate;
 use crate::coordinator::Coordinator;
 use crate::displacement::{Plan, cheapest, find};
@@ -193,7 +193,7 @@
         &self,
         now: TimeMs,
         slot_of: &SlotOf,
-        matches: impl Fn(&Held) -> bool,
+        matches: impl Fn(&Allocation) -> bool,
     ) -> Vec<(TimeMs, Victim)> {
         let mut groups: BTreeMap<Group, (TimeMs, Victim)> = BTreeMap::new();
         for (name, worker) in &self.workers {
--- a/ragwortwick-area/src/records.rs
+++ b/ragwortwick-area/src/records.rs
@@ -10,7 +10,7 @@
 use crate::coordinator::Coordinator;
 use crate::job::TaskId;
 use crate::job_state::JobState;
-use crate::messages::{Action, StoredProgress};
+use crate::messages::{Action, ProgressRecord};
 
 /// Entries of a record in a transaction: a condition and a write. A new phase is one write more.
 const ENTRIES_PER_RECORD: usize = 2;
@@ -208,7 +208,7 @@
             let has_new_phase = job.has_unrecorded_phase();
             let has_ended = has_new_phase && job.phase.is_final();
             job.recorded_phase = job.phase;
-            records.push(StoredProgress {
+            records.push(ProgressRecord {
                 job_id: job_id.clone(),
                 progress: job.to_progress(),
                 has_new_phase,
@@ -256,7 +256,7 @@
             .collect();
         for job_id in old {
             self.jobs.remove(&job_id);
-            self.actions.push(Action::Forget(job_id));
+            self.actions.push(Action::DeleteJob(job_id));
         }
     }
 }
--- a/ragwortwick-area/src/recovery.rs
+++ b/ragwortwick-area/src/recovery.rs
@@ -3,14 +3,14 @@
 use std::sync::Arc;
 
 use crate::account::OverWhy;
-use crate::allocation::{Held, HeldPhase};
-use crate::coordinator::{Coordinator, KnownJob, Now, RENEWAL_AFTER_TENURE_MS, steady_of};
+use crate::allocation::{Allocation, AllocationPhase};
+use crate::coordinator::{Coordinator, Now, RENEWAL_AFTER_TENURE_MS, RecoveredJob, steady_of};
 use crate::job_state::JobState;
 use crate::worker::{Worker, longest_lease};
 
 impl Coordinator {
     /// Takes over one job; its recorded runs count as running until a look, or time, tells.
-    pub(crate) fn inherit(&mut self, now: Now, known: KnownJob) {
+    pub(crate) fn inherit(&mut self, now: Now, known: RecoveredJob) {
         let job_id = known.record.job_id.clone();
         let accepted_at = steady_of(now, known.record.accepted_unix_ms);
         let mut job = JobState::new(known.record, accepted_at);
@@ -25,18 +25,18 @@
                 continue;
             };
             let priority = self.terms_of(&job).priority;
-            let held = Held {
+            let held = Allocation {
                 phase: if is_over {
-                    HeldPhase::to_stop(OverWhy::JobOver)
+                    AllocationPhase::stop_pending(OverWhy::JobOver)
                 } else {
-                    HeldPhase::Inherited
+                    AllocationPhase::Recovered
                 },
                 checkpoint: Arc::clone(&state.checkpoint),
                 is_resumed: true,
                 tries: 1,
                 crashes: state.crash_history,
                 pace_told: None,
-                ..Held::intended(now.steady, spec, state.last_run, priority)
+                ..Allocation::intended(now.steady, spec, state.last_run, priority)
             };
             let bound = now.steady + RENEWAL_AFTER_TENURE_MS + longest_lease(&self.limits);
             let worker = self
--- a/ragwortwick-area/src/run_ends.rs
+++ b/ragwortwick-area/src/run_ends.rs
@@ -5,14 +5,14 @@
 use ragwortwick_core::{DurationMs, TimeMs, WorkerName};
 
 use crate::account::OverWhy;
-use crate::allocation::HeldPhase;
+use crate::allocation::AllocationPhase;
 use crate::coordinator::Coordinator;
 use crate::job::TaskId;
 use crate::job_state::TaskState;
 use crate::losses::WorkerLoss;
-use crate::messages::{Action, EndKind, EndedTask, Look, RunOver};
-use crate::outcome::{Outcome, Settled};
-use crate::worker::LookState;
+use crate::messages::{Action, EndKind, EndedTask, RunEnded, WorkerReport};
+use crate::outcome::{FollowUp, RunOutcome};
+use crate::worker::PollState;
 
 /// Failed runs in a row, of any jobs, after which a worker is suspected.
 const SUSPECT_FAILURES: u32 = 2;
@@ -51,7 +51,7 @@
         worker_name: &WorkerName,
         task: &TaskId,
         run: u32,
-        outcome: Outcome,
+        outcome: RunOutcome,
     ) {
         let Some(worker) = self.workers.get_mut(worker_name) else {
             return;
@@ -63,11 +63,11 @@
             return;
         };
         let why = match outcome {
-            Outcome::Done => OverWhy::Done,
-            Outcome::Failed => OverWhy::Failed,
-            Outcome::Void | Outcome::Lost(_) => match (held.phase, outcome) {
-                (HeldPhase::Stopping { why, .. }, _) => why,
-                (_, Outcome::Lost(loss)) => loss.into(),
+            RunOutcome::Done => OverWhy::Done,
+            RunOutcome::Failed => OverWhy::Failed,
+            RunOutcome::NoVerdict | RunOutcome::Lost(_) => match (held.phase, outcome) {
+                (AllocationPhase::Stopping { why, .. }, _) => why,
+                (_, RunOutcome::Lost(loss)) => loss.into(),
                 _ => OverWhy::NotThere,
             },
         };
@@ -76,7 +76,7 @@
             _ => held.vain_ms(now, self.limits.restore_ms),
         };
         let lost_core_ms = held.need.core_equivalents().max(1) * vain_ms.0;
-        self.actions.push(Action::Report(RunOver {
+        self.actions.push(Action::LogRunEnd(RunEnded {
             worker: worker_name.clone(),
             task: task.clone(),
             run,
@@ -85,16 +85,16 @@
             lost_core_ms,
         }));
         match outcome {
-            Outcome::Done => worker.failures_in_row = 0,
-            Outcome::Failed => {
+            RunOutcome::Done => worker.failures_in_row = 0,
+            RunOutcome::Failed => {
                 worker.failures_in_row += 1;
                 if worker.failures_in_row >= SUSPECT_FAILURES {
                     worker.avoid_until = now + SUSPECT_MS;
                 }
             }
-            Outcome::Void | Outcome::Lost(_) => {}
+            RunOutcome::NoVerdict | RunOutcome::Lost(_) => {}
         }
-        if outcome == Outcome::Done {
+        if outcome == RunOutcome::Done {
             self.compare_duration_at_end(now, worker_name, task, &held);
         }
         let attempts = self.attempts_of(&task.job_id);
@@ -112,9 +112,9 @@
         self.records.mark(&task.job_id);
         self.wants_pass = true;
         match settled {
-            Settled::Nothing => {}
-            Settled::StopGang => self.stop_group(now, task, OverWhy::GangEnded),
-            Settled::JobOver => self.job_over(now, &task.job_id.clone()),
+            FollowUp::None => {}
+            FollowUp::StopGang => self.stop_group(now, task, OverWhy::GangEnded),
+            FollowUp::EndJob => self.job_over(now, &task.job_id.clone()),
         }
     }
 
@@ -124,8 +124,8 @@
             return;
         };
         let held = worker.held.get_mut(&end.task);
-        let Some(held) =
-            held.filter(|held| held.run == end.run && held.phase != HeldPhase::Intended)
+        let Some(held) = held
+            .filter(|held| held.run == end.run && held.phase != AllocationPhase::AwaitingRecord)
         else {
             if end.kind == EndKind::Done {
                 self.done_late(now, &end.task);
@@ -136,12 +136,12 @@
             held.checkpoint = Arc::clone(&end.checkpoint);
         }
         let outcome = match end.kind {
-            EndKind::Done => Outcome::Done,
-            EndKind::Failed => Outcome::Failed,
+            EndKind::Done => RunOutcome::Done,
+            EndKind::Failed => RunOutcome::Failed,
             EndKind::Stopped
             | EndKind::LeaseExpired
             | EndKind::GangBroken
-            | EndKind::GangIncomplete => Outcome::Void,
+            | EndKind::GangIncomplete => RunOutcome::NoVerdict,
         };
         self.resolve(now, worker_name, &end.task, end.run, outcome);
     }
@@ -154,7 +154,7 @@
             return;
         };
         let worker = worker.clone();
-        self.resolve(now, &worker, task, run, Outcome::Done);
+        self.resolve(now, &worker, task, run, RunOutcome::Done);
     }
 
     /// A worker's address answers as another life: nothing of the earlier one runs any more.
@@ -195,7 +195,7 @@
         now: TimeMs,
         worker_name: &WorkerName,
         sent_at: TimeMs,
-        look: &Look,
+        look: &WorkerReport,
     ) {
         let after_ends_ms = after_ends_ms(self.workers.len());
         let Some(worker) = self.workers.get_mut(worker_name) else {
@@ -208,7 +208,7 @@
         } else {
             after_ends_ms
         };
-        worker.look = LookState::Idle {
+        worker.look = PollState::Idle {
             next_at: now + pause_ms,
         };
         let mut highest = worker.taken_in;
--- a/ragwortwick-area/src/sharing.rs
+++ b/ragwortwick-area/src/sharing.rs
@@ -8,7 +8,7 @@
 
 use ragwortwick_core::{DurationMs, TimeMs, WorkerName};
 
-use crate::allocation::HeldPhase;
+use crate::allocation::AllocationPhase;
 use crate::coordinator::Coordinator;
 use crate::job::StepSpec;
 use crate::messages::Action;
@@ -68,7 +68,7 @@
     /// The highest tail latency of what serves here, in per cent of its target; none if nothing does.
     fn tightest_percent(&self) -> Option<u32> {
         let serving = self.held.values().filter_map(|held| match held.role {
-            Role::Serves { target_ms } if matches!(held.phase, HeldPhase::Running { .. }) => {
+            Role::Serves { target_ms } if matches!(held.phase, AllocationPhase::Running { .. }) => {
                 let percent = u64::from(held.load) * 100 / target_ms;
                 Some(u32::try_from(percent).unwrap_or(u32::MAX))
             }
@@ -127,12 +127,12 @@
         worker.adjust_fillers(now);
         let percent = worker.filler_percent;
         for (task, held) in &mut worker.held {
-            let is_running = matches!(held.phase, HeldPhase::Running { .. });
+            let is_running = matches!(held.phase, AllocationPhase::Running { .. });
             if held.role != Role::Fills || !is_running || held.pace_told == Some(percent) {
                 continue;
             }
             held.pace_told = Some(percent);
-            self.actions.push(Action::Pace {
+            self.actions.push(Action::SetPace {
                 worker: worker_name.clone(),
                 address: Arc::clone(&worker.entry.address),
                 task: task.clone(),
--- a/ragwortwick-area/src/speed.rs
+++ b/ragwortwick-area/src/speed.rs
@@ -6,7 +6,7 @@
 
 use ragwortwick_core::{DurationMs, TimeMs, WorkerName};
 
-use crate::allocation::Held;
+use crate::allocation::Allocation;
 use crate::coordinator::Coordinator;
 use crate::job::TaskId;
 use crate::watch::Watch;
@@ -128,7 +128,7 @@
         now: TimeMs,
         worker_name: &WorkerName,
         task: &TaskId,
-        held: &Held,
+        held: &Allocation,
     ) {
         let job = self.jobs.get(&task.job_id);
         let spec = job.and_then(|job| job.spec(task.step));
--- a/ragwortwick-area/src/stalls.rs
+++ b/ragwortwick-area/src/stalls.rs
@@ -9,11 +9,11 @@
 use ragwortwick_core::{DurationMs, TimeMs, WorkerName};
 
 use crate::account::OverWhy;
-use crate::allocation::{Held, HeldPhase};
+use crate::allocation::{Allocation, AllocationPhase};
 use crate::coordinator::Coordinator;
 use crate::job::TaskId;
 use crate::job_state::TaskState;
-use crate::messages::Look;
+use crate::messages::WorkerReport;
 use crate::watch::{Movement, Watch};
 use crate::worker::Worker;
 
@@ -31,7 +31,7 @@
 /// seems to stand still wherever it is, and would never come to its end.
 const MOST_MOVES: u32 = 2;
 
-impl Held {
+impl Allocation {
     /// Takes in what the worker tells of the run's progress.
     fn hear_progress(&mut self, clock_ms: u64, percent: u32) -> Movement {
         let Some(watch) = &mut self.watch else {
@@ -58,14 +58,14 @@
 
 impl Worker {
     /// Takes in the progress of what runs; gives what stands still, and for how long.
-    fn hear_progress(&mut self, now: TimeMs, look: &Look) -> Vec<(TaskId, DurationMs)> {
+    fn hear_progress(&mut self, now: TimeMs, look: &WorkerReport) -> Vec<(TaskId, DurationMs)> {
         let mut is_moving = false;
         let mut stalled = Vec::new();
         for row in &look.running {
             let Some(held) = self.held.get_mut(&row.task) else {
                 continue;
             };
-            let is_running = matches!(held.phase, HeldPhase::Running { .. });
+            let is_running = matches!(held.phase, AllocationPhase::Running { .. });
             if held.run != row.run || !is_running || !held.is_watched {
                 continue;
             }
@@ -89,7 +89,12 @@
 
 impl Coordinator {
     /// Takes in what a look tells of progress, and stops what is better off elsewhere.
-    pub(crate) fn hear_progress(&mut self, now: TimeMs, worker_name: &WorkerName, look: &Look) {
+    pub(crate) fn hear_progress(
+        &mut self,
+        now: TimeMs,
+        worker_name: &WorkerName,
+        look: &WorkerReport,
+    ) {
         let may_order = self.may_order(now);
         let Some(worker) = self.workers.get_mut(worker_name) else {
             return;
@@ -136,7 +141,7 @@
                 ..task.clone()
             };
             let held = self.workers.get(worker)?.held.get(&id)?;
-            let is_running = matches!(held.phase, HeldPhase::Running { .. });
+            let is_running = matches!(held.phase, AllocationPhase::Running { .. });
             is_running.then(|| held.lost_by_move(self.limits.restore_ms))
         });
         losses.collect::<Option<Vec<_>>>()?.into_iter().max()
--- a/ragwortwick-area/src/starts.rs
+++ b/ragwortwick-area/src/starts.rs
@@ -5,11 +5,11 @@
 use ragwortwick_core::{DurationMs, JobId, TimeMs, WorkerName};
 
 use crate::account::OverWhy;
-use crate::allocation::{Held, HeldPhase};
+use crate::allocation::{Allocation, AllocationPhase};
 use crate::coordinator::Coordinator;
 use crate::job::TaskId;
 use crate::messages::{Action, OrderReply, RefusalCause};
-use crate::outcome::Outcome;
+use crate::outcome::RunOutcome;
 use crate::watch::Watch;
 use crate::worker::Worker;
 
@@ -29,15 +29,15 @@
         let Some(held) = worker.held.get_mut(task) else {
             return;
         };
-        if held.run != run || held.phase != HeldPhase::Intended {
+        if held.run != run || held.phase != AllocationPhase::AwaitingRecord {
             return;
         }
         if !takes_work || !may_order {
             // Nothing was sent, so the run certainly never begins.
-            self.resolve(now, worker_name, task, run, Outcome::Void);
+            self.resolve(now, worker_name, task, run, RunOutcome::NoVerdict);
             return;
         }
-        held.phase = HeldPhase::Ordered {
+        held.phase = AllocationPhase::StartSent {
             sent_at: now,
             in_flight: false,
         };
@@ -68,7 +68,7 @@
             return;
         };
         held.tries += 1;
-        held.phase = HeldPhase::Ordered {
+        held.phase = AllocationPhase::StartSent {
             sent_at: now,
             in_flight: true,
         };
@@ -92,13 +92,13 @@
         for (name, worker) in &self.workers {
             for (task, held) in &worker.held {
                 match held.phase {
-                    HeldPhase::Ordered {
+                    AllocationPhase::StartSent {
                         sent_at,
                         in_flight: false,
                     } if now.since(sent_at) >= RESEND_MS && may_order => {
                         starts.push((name.clone(), task.clone()));
                     }
-                    HeldPhase::Stopping {
+                    AllocationPhase::Stopping {
                         sent_at,
                         in_flight: false,
                         confirmed_at: None,
@@ -172,7 +172,7 @@
         let Some(held) = worker.held.get_mut(task) else {
             return;
         };
-        let HeldPhase::Ordered { sent_at, .. } = held.phase else {
+        let AllocationPhase::StartSent { sent_at, .. } = held.phase else {
             return;
         };
         if held.run != run {
@@ -183,7 +183,7 @@
                 if !held.is_resumed {
                     held.watch = Some(Watch::begin(clock_ms, 0));
                 }
-                held.phase = HeldPhase::Running { since: now };
+                held.phase = AllocationPhase::Running { since: now };
                 held.started_at = Some(now);
                 worker.look_by(now);
                 if let Some(job) = self.jobs.get_mut(&task.job_id) {
@@ -193,7 +193,7 @@
                 self.share(now, worker_name);
             }
             OrderReply::Unknown => {
-                held.phase = HeldPhase::Ordered {
+                held.phase = AllocationPhase::StartSent {
                     sent_at,
                     in_flight: false,
                 };
@@ -201,7 +201,7 @@
             OrderReply::Refused(RefusalCause::Fenced) => self.actions.push(Action::Resign),
             // It was there and ended, or was stopped: the next look lists the end.
             OrderReply::Refused(RefusalCause::StaleRun) => {
-                held.phase = HeldPhase::Running { since: now };
+                held.phase = AllocationPhase::Running { since: now };
             }
             OrderReply::Refused(cause) => {
                 let is_first_try = held.tries <= 1;
@@ -217,7 +217,7 @@
                     self.advice.drop_ticket(worker_name, task);
                 }
                 if is_first_try {
-                    self.resolve(now, worker_name, task, run, Outcome::Void);
+                    self.resolve(now, worker_name, task, run, RunOutcome::NoVerdict);
                 } else {
                     // An earlier try may still be carried out late; a stop rules that out.
                     self.stop_group(now, task, OverWhy::StartInDoubt);
@@ -243,10 +243,10 @@
             return;
         };
         let state = job.task(task);
-        let held = Held {
+        let held = Allocation {
             is_resumed: state.is_some_and(|state| !state.checkpoint.is_empty()),
             crashes: state.map(|state| state.crash_history).unwrap_or_default(),
-            ..Held::intended(now, spec, run, priority)
+            ..Allocation::intended(now, spec, run, priority)
         };
         job.mark_placed(task, worker_name, run);
         job.accounting.placed(now);
--- a/ragwortwick-area/src/stops.rs
+++ b/ragwortwick-area/src/stops.rs
@@ -5,11 +5,11 @@
 use ragwortwick_core::{DurationMs, TimeMs, WorkerName};
 
 use crate::account::OverWhy;
-use crate::allocation::HeldPhase;
+use crate::allocation::AllocationPhase;
 use crate::coordinator::Coordinator;
 use crate::job::TaskId;
 use crate::messages::{Action, OrderReply, RefusalCause};
-use crate::outcome::Outcome;
+use crate::outcome::RunOutcome;
 
 /// Pause before a stop that was confirmed, but whose end was never listed, is looked after.
 const STOP_LISTED_MS: DurationMs = DurationMs(150);
@@ -23,7 +23,7 @@
         let Some(held) = worker.held.get_mut(task) else {
             return;
         };
-        let HeldPhase::Stopping {
+        let AllocationPhase::Stopping {
             sent_at,
             in_flight,
             confirmed_at,
@@ -64,7 +64,7 @@
         if held.run != run {
             return;
         }
-        let HeldPhase::Stopping {
+        let AllocationPhase::Stopping {
             in_flight,
             confirmed_at,
             ..
@@ -114,13 +114,13 @@
             if held.is_stopping() || !matches(task) {
                 continue;
             }
-            if held.phase == HeldPhase::Intended {
+            if held.phase == AllocationPhase::AwaitingRecord {
                 never_sent.push((task.clone(), held.run));
             }
-            held.phase = HeldPhase::to_stop(why);
+            held.phase = AllocationPhase::stop_pending(why);
         }
         for (task, run) in never_sent {
-            self.resolve(now, name, &task, run, Outcome::Void);
+            self.resolve(now, name, &task, run, RunOutcome::NoVerdict);
         }
     }
 
--- a/ragwortwick-area/src/worker.rs
+++ b/ragwortwick-area/src/worker.rs
@@ -5,7 +5,7 @@
 
 use ragwortwick_core::{DurationMs, TimeMs, WorkerName};
 
-use crate::allocation::{Held, HeldPhase};
+use crate::allocation::{Allocation, AllocationPhase};
 use crate::job::{Resources, TaskId};
 use crate::limits::Limits;
 use crate::losses::{Silence, SilenceKind};
@@ -23,9 +23,9 @@
 /// A worker's clock may run 2 % slow; 3 % covers that with rounding.
 const CLOCK_DRIFT_PERCENT: u64 = 3;
 
-/// `LookState` tells whether a look is under way.
+/// `PollState` tells whether a look is under way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum LookState {
+pub(crate) enum PollState {
     /// None is under way; the next is due then.
     Idle { next_at: TimeMs },
     /// One was sent then.
@@ -40,7 +40,7 @@
     pub(crate) is_listed: bool,
     /// When it must have left, for a draining worker that told its remaining time.
     pub(crate) leaves_at: Option<TimeMs>,
-    pub(crate) held: BTreeMap<TaskId, Held>,
+    pub(crate) held: BTreeMap<TaskId, Allocation>,
     used: Resources,
     /// What runs that nobody waits for took when the worker was last looked at.
     pub(crate) strays: Resources,
@@ -50,7 +50,7 @@
     pub(crate) lease_bound: TimeMs,
     /// When this coordinator sent a lease there last, or took the worker over.
     pub(crate) leased_at: TimeMs,
-    pub(crate) look: LookState,
+    pub(crate) look: PollState,
     /// Since when looks fail; none if the last one was answered.
     pub(crate) silence: Option<Silence>,
     /// Highest number of an end that was taken in.
@@ -85,7 +85,7 @@
             clock: None,
             lease_bound: now,
             leased_at: now,
-            look: LookState::Idle { next_at: now },
+            look: PollState::Idle { next_at: now },
             silence: None,
             taken_in: 0,
             stored: 0,
@@ -173,17 +173,17 @@
 
     /// Brings the next look forward, unless one is under way.
     pub(crate) fn look_by(&mut self, at: TimeMs) {
-        if let LookState::Idle { next_at } = &mut self.look {
+        if let PollState::Idle { next_at } = &mut self.look {
             *next_at = at.min(*next_at);
         }
     }
 
-    pub(crate) fn hold(&mut self, task: TaskId, held: Held) {
+    pub(crate) fn hold(&mut self, task: TaskId, held: Allocation) {
         self.used = self.used.plus(held.need);
         self.held.insert(task, held);
     }
 
-    pub(crate) fn release(&mut self, task: &TaskId) -> Option<Held> {
+    pub(crate) fn release(&mut self, task: &TaskId) -> Option<Allocation> {
         let held = self.held.remove(task)?;
         self.used = self.used.saturating_sub(held.need);
         Some(held)
@@ -220,7 +220,7 @@
         let has_run = self
             .held
             .values()
-            .any(|held| !matches!(held.phase, HeldPhase::Intended));
+            .any(|held| !matches!(held.phase, AllocationPhase::AwaitingRecord));
         has_run
             || !self.strays.is_zero()
             || self.stored > self.told
--- a/ragwortwick-area/tests/account.rs
+++ b/ragwortwick-area/tests/account.rs
@@ -12,7 +12,7 @@
     for (batch, records) in rig.batches() {
         let ended = records.into_iter();
         accounts.extend(ended.filter_map(|record| Some((record.job_id, record.account?))));
-        rig.tell(Event::Stored { batch });
+        rig.tell(Event::BatchStored { batch });
     }
     accounts
 }
@@ -98,7 +98,7 @@
         vec![ended(1, &start[0], EndKind::Stopped)],
     );
     let lost: Vec<u64> = rig.take(|action| match action {
-        Action::Report(over) if over.why == OverWhy::JobOver => Some(over.lost_core_ms),
+        Action::LogRunEnd(over) if over.why == OverWhy::JobOver => Some(over.lost_core_ms),
         _ => None,
     });
     assert_eq!(lost.len(), 1);
--- a/ragwortwick-area/tests/advice.rs
+++ b/ragwortwick-area/tests/advice.rs
@@ -27,13 +27,13 @@
 
 fn rig() -> Rig {
     let mut rig = Rig::new(&[worker("w1", "r1"), worker("w2", "r1"), worker("w3", "r2")]);
-    rig.tell(Event::Desired(advised()));
+    rig.tell(Event::DesiredState(advised()));
     rig
 }
 
 fn questions(rig: &mut Rig) -> Vec<(StepId, Vec<WorkerName>)> {
     rig.take(|action| match action {
-        Action::AskAdvice { step, workers, .. } => Some((step.clone(), workers.clone())),
+        Action::RequestAdvice { step, workers, .. } => Some((step.clone(), workers.clone())),
         _ => None,
     })
 }
@@ -42,7 +42,7 @@
     let allowed = allowed
         .iter()
         .map(|name| (WorkerName::new(*name), format!("ticket-{name}").into()));
-    rig.tell(Event::Advised {
+    rig.tell(Event::AdviceReplied {
         step: question.0.clone(),
         asked: question.1.clone(),
         reply: AdviceReply::Given {
@@ -143,7 +143,7 @@
     rig.hand_in("00000000000000a5", "patient", step(1, 1));
     rig.pass(20);
     let asked = questions(&mut rig).remove(0);
-    rig.tell(Event::Advised {
+    rig.tell(Event::AdviceReplied {
         step: asked.0,
         asked: asked.1,
         reply: AdviceReply::Failed,
@@ -197,7 +197,7 @@
     rig.hand_in("00000000000000a9", "patient", step(1, 1));
     rig.pass(20);
     let asked = questions(&mut rig).remove(0);
-    rig.tell(Event::Advised {
+    rig.tell(Event::AdviceReplied {
         step: asked.0,
         asked: asked.1,
         reply: AdviceReply::Given {
--- a/ragwortwick-area/tests/capacity.rs
+++ b/ragwortwick-area/tests/capacity.rs
@@ -23,10 +23,10 @@
     let mut rig = Rig::new(&[worker("w1", "r1")]);
     rig.hand_in("00000000000000a1", "middle", step(1, 8));
     rig.pass(20);
-    rig.tell(Event::WorkerSeen(shrunk("w1", 4)));
+    rig.tell(Event::WorkerUpdated(shrunk("w1", 4)));
     rig.store();
     assert_eq!(rig.starts(), vec![]);
-    rig.tell(Event::WorkerSeen(worker("w1", "r1")));
+    rig.tell(Event::WorkerUpdated(worker("w1", "r1")));
     assert_eq!(rig.start_all().len(), 1, "there is room again");
 }
 
@@ -38,7 +38,7 @@
     rig.pass(20);
     rig.store();
     let start = rig.starts().remove(0);
-    rig.tell(Event::WorkerSeen(shrunk("w1", 4)));
+    rig.tell(Event::WorkerUpdated(shrunk("w1", 4)));
     rig.reply(&start, OrderReply::Unknown);
     rig.pass(1_000);
     assert_eq!(rig.starts(), vec![]);
@@ -51,12 +51,12 @@
     let mut rig = Rig::new(&[worker("w1", "r1")]);
     rig.hand_in("00000000000000a1", "middle", step(1, 8));
     let first = rig.start_all();
-    rig.tell(Event::WorkerSeen(shrunk("w1", 4)));
+    rig.tell(Event::WorkerUpdated(shrunk("w1", 4)));
     rig.hand_in("00000000000000a2", "middle", step(1, 0));
     rig.pass(20);
     assert!(rig.store().is_empty(), "it is not placed");
     rig.look("w1", vec![running(&first[0])], vec![]);
-    rig.tell(Event::WorkerSeen(worker("w1", "r1")));
+    rig.tell(Event::WorkerUpdated(worker("w1", "r1")));
     assert_eq!(rig.start_all().len(), 1);
 }
 
@@ -66,7 +66,7 @@
     let mut rig = Rig::new(&[worker("w1", "r1")]);
     rig.hand_in("00000000000000a1", "patient", step(4, 2));
     assert_eq!(rig.start_all().len(), 4);
-    rig.tell(Event::WorkerSeen(shrunk("w1", 4)));
+    rig.tell(Event::WorkerUpdated(shrunk("w1", 4)));
     rig.hand_in("00000000000000a2", "urgent", step(1, 2));
     rig.pass(20);
     assert_eq!(
--- a/ragwortwick-area/tests/crashes.rs
+++ b/ragwortwick-area/tests/crashes.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use ragwortwick_area::{
-    Event, JobPhase, JobProgress, JobRecord, KnownJob, LookFailure, OrderReply, RefusalCause,
+    Event, JobPhase, JobProgress, JobRecord, OrderReply, PollFailure, RecoveredJob, RefusalCause,
     StepSpec, TaskId, WorkerEntry,
 };
 use ragwortwick_core::{JobId, WorkerName};
@@ -38,9 +38,9 @@
 
     /// The process of a worker ends, and another life of it answers some seconds later.
     fn crash(&mut self, rig: &mut Rig, name: &WorkerName) {
-        rig.look_fails_by(name, LookFailure::Closed);
+        rig.look_fails_by(name, PollFailure::Closed);
         rig.pass(AWAY_MS);
-        rig.look_fails_by(name, LookFailure::WrongLife);
+        rig.look_fails_by(name, PollFailure::WrongLife);
         self.come_back(rig, name);
     }
 
@@ -53,8 +53,8 @@
         let entry = entry.expect("it is one of them");
         entry.name = next;
         let entry = entry.clone();
-        rig.tell(Event::WorkerGone(name.clone()));
-        rig.tell(Event::WorkerSeen(entry));
+        rig.tell(Event::WorkerRemoved(name.clone()));
+        rig.tell(Event::WorkerUpdated(entry));
     }
 }
 
@@ -101,7 +101,7 @@
     let mut progress: Option<JobProgress> = None;
     let mut starts = 0;
     for term in 0..10_u64 {
-        let known = KnownJob {
+        let known = RecoveredJob {
             record: Arc::clone(&record),
             progress: progress.clone(),
             is_cancelled: false,
@@ -178,7 +178,7 @@
 /// Jobs on a rack that goes out several times lose their workers through no fault of their own.
 #[test]
 fn verify_a_job_on_a_rack_that_goes_out_is_not_given_up() {
-    for failure in [LookFailure::NoAnswer, LookFailure::Closed] {
+    for failure in [PollFailure::NoAnswer, PollFailure::Closed] {
         let mut fleet = Fleet::new(4);
         let mut rig = Rig::new(&fleet.entries);
         let ids = ["00000000000000f1", "00000000000000f2"];
@@ -196,7 +196,7 @@
             }
             rig.pass(AWAY_MS);
             for start in &starts {
-                rig.look_fails_by(&start.0, LookFailure::WrongLife);
+                rig.look_fails_by(&start.0, PollFailure::WrongLife);
                 fleet.come_back(&mut rig, &start.0);
             }
         }
@@ -258,7 +258,7 @@
         assert_eq!(starts.len(), 1, "round {round}");
         let name = &starts[0].0;
         let entry = fleet.entries.iter().find(|entry| entry.name == *name);
-        rig.tell(Event::WorkerSeen(WorkerEntry {
+        rig.tell(Event::WorkerUpdated(WorkerEntry {
             is_draining: true,
             ..entry.expect("it is one of them").clone()
         }));
@@ -278,7 +278,7 @@
         assert_eq!(starts.len(), 1, "round {round}");
         rig.look_fails(&starts[0].0);
         rig.pass(AWAY_MS);
-        rig.look_fails_by(&starts[0].0, LookFailure::WrongLife);
+        rig.look_fails_by(&starts[0].0, PollFailure::WrongLife);
         fleet.come_back(&mut rig, &starts[0].0);
     }
     assert_eq!(phase(&rig, CRASHER), Some(JobPhase::Running));
@@ -352,7 +352,7 @@
     jobs: &[(Arc<JobRecord>, Option<JobProgress>)],
     begins_ms: u64,
 ) -> (Rig, Vec<Option<JobProgress>>) {
-    let known = jobs.iter().map(|(record, progress)| KnownJob {
+    let known = jobs.iter().map(|(record, progress)| RecoveredJob {
         record: Arc::clone(record),
         progress: progress.clone(),
         is_cancelled: false,
@@ -362,7 +362,7 @@
     let held = held.flat_map(|progress| &progress.tasks);
     let lost: BTreeSet<WorkerName> = held.filter_map(|task| task.worker.clone()).collect();
     for name in lost {
-        rig.look_fails_by(&name, LookFailure::WrongLife);
+        rig.look_fails_by(&name, PollFailure::WrongLife);
         fleet.come_back(&mut rig, &name);
     }
     rig.pass(1_200);
--- a/ragwortwick-area/tests/guarantees.rs
+++ b/ragwortwick-area/tests/guarantees.rs
@@ -131,7 +131,7 @@
     rig.pass(20);
     let mut entry = worker("w1", "r1");
     entry.is_draining = true;
-    rig.tell(Event::WorkerSeen(entry));
+    rig.tell(Event::WorkerUpdated(entry));
     rig.store();
     rig.pass(100);
     rig.store();
--- a/ragwortwick-area/tests/late_ends.rs
+++ b/ragwortwick-area/tests/late_ends.rs
@@ -31,7 +31,7 @@
             rig.pass(1_000);
         }
         for entry in &entries[1..] {
-            rig.tell(Event::WorkerSeen(entry.clone()));
+            rig.tell(Event::WorkerUpdated(entry.clone()));
         }
         rig.pass(20);
         Self { rig, starts }
--- a/ragwortwick-area/tests/leaving.rs
+++ b/ragwortwick-area/tests/leaving.rs
@@ -24,7 +24,7 @@
         }
     }
     rig.stops();
-    rig.tell(Event::WorkerSeen(WorkerEntry {
+    rig.tell(Event::WorkerUpdated(WorkerEntry {
         is_draining: true,
         remaining_ms: Some(NOTICE_MS),
         ..worker("w1", "r1")
--- a/ragwortwick-area/tests/losses.rs
+++ b/ragwortwick-area/tests/losses.rs
@@ -2,7 +2,7 @@
 
 mod rig;
 
-use ragwortwick_area::{Event, LookFailure, SilenceKind, WorkerEntry, WorkerLoss, WorkerLost};
+use ragwortwick_area::{Event, PollFailure, SilenceKind, WorkerEntry, WorkerLoss, WorkerLost};
 use ragwortwick_core::{DurationMs, WorkerName};
 use rig::{Rig, running, step, worker};
 
@@ -22,16 +22,16 @@
         rig.look(start.0.as_str(), vec![running(start)], vec![]);
     }
     let entry = workers.iter().find(|entry| entry.name == *leaving);
-    rig.tell(Event::WorkerSeen(WorkerEntry {
+    rig.tell(Event::WorkerUpdated(WorkerEntry {
         is_draining: true,
         remaining_ms: Some(DurationMs(30_000)),
         ..entry.expect("it is one of them").clone()
     }));
-    rig.look_fails_by(crashed, LookFailure::Closed);
-    rig.look_fails_by(leaving, LookFailure::Closed);
+    rig.look_fails_by(crashed, PollFailure::Closed);
+    rig.look_fails_by(leaving, PollFailure::Closed);
     rig.pass(2_000);
-    rig.look_fails_by(crashed, LookFailure::WrongLife);
-    rig.look_fails_by(leaving, LookFailure::WrongLife);
+    rig.look_fails_by(crashed, PollFailure::WrongLife);
+    rig.look_fails_by(leaving, PollFailure::WrongLife);
     for _ in 0..20 {
         rig.look_fails(cut);
         rig.pass(1_000);
--- a/ragwortwick-area/tests/pacing.rs
+++ b/ragwortwick-area/tests/pacing.rs
@@ -19,7 +19,7 @@
     rig.pass(10);
     assert_eq!(rig.store().len(), 1, "the first job is placed");
     rig.now = TimeMs(rig.now.0 + 20);
-    rig.tell(Event::WorkersFresh);
+    rig.tell(Event::WorkersConfirmed);
     rig.now = TimeMs(rig.now.0 + 50);
     rig.coordinator.call_ended(rig.now);
     rig.hand_in("00000000000000d1", "patient", step(1, 1));
--- a/ragwortwick-area/tests/reach.rs
+++ b/ragwortwick-area/tests/reach.rs
@@ -24,7 +24,7 @@
         rig.look_fails(&WorkerName::new("w1"));
     }
     rig.pass(2_000);
-    let is_look = |action: &Action| matches!(action, Action::Look { .. });
+    let is_look = |action: &Action| matches!(action, Action::Poll { .. });
     assert!(rig.actions.iter().any(is_look), "the worker is tried again");
     rig.look("w1", Vec::new(), Vec::new());
     rig.pass(20);
@@ -46,7 +46,7 @@
         let start = rig.starts().remove(0);
         rig.accept(&start);
         if !is_listed {
-            rig.tell(Event::WorkerGone(start.0.clone()));
+            rig.tell(Event::WorkerRemoved(start.0.clone()));
         }
         let silent = |rig: &mut Rig| {
             rig.look_fails(&start.0);
--- a/ragwortwick-area/tests/records.rs
+++ b/ragwortwick-area/tests/records.rs
@@ -4,11 +4,11 @@
 
 use std::collections::BTreeSet;
 
-use ragwortwick_area::{Action, EndKind, Event, StoredProgress};
+use ragwortwick_area::{Action, EndKind, Event, ProgressRecord};
 use ragwortwick_core::JobId;
 use rig::{Rig, ended, step, worker};
 
-type Batch = (u64, Vec<StoredProgress>);
+type Batch = (u64, Vec<ProgressRecord>);
 
 fn jobs_of(batches: &[Batch]) -> Vec<&JobId> {
     let records = batches.iter().flat_map(|(_, records)| records);
@@ -32,7 +32,7 @@
     assert_eq!(jobs.len(), distinct.len(), "a job is in two batches");
     assert!(rig.starts().is_empty(), "a start went before its record");
     for (batch, _) in waiting.iter().rev() {
-        rig.tell(Event::Stored { batch: *batch });
+        rig.tell(Event::BatchStored { batch: *batch });
     }
     assert_eq!(rig.starts().len() as u64, JOBS);
 }
@@ -49,7 +49,7 @@
     rig.tell(Event::JobCancelled(JobId::new(id)));
     rig.pass(200);
     assert!(rig.batches().is_empty(), "the second record overtakes");
-    rig.tell(Event::Stored { batch: first[0].0 });
+    rig.tell(Event::BatchStored { batch: first[0].0 });
     rig.pass(20);
     assert_eq!(jobs_of(&rig.batches()), [&JobId::new(id)]);
 }
@@ -74,14 +74,14 @@
     let noted = |rig: &mut Rig| -> u64 {
         rig.pass(1_500);
         let looks = rig.take(|action| match action {
-            Action::Look { noted, .. } => Some(*noted),
+            Action::Poll { acked_end, .. } => Some(*acked_end),
             _ => None,
         });
         looks.into_iter().max().unwrap_or(0)
     };
-    rig.tell(Event::Stored { batch: open[1].0 });
+    rig.tell(Event::BatchStored { batch: open[1].0 });
     assert_eq!(noted(&mut rig), 0);
-    rig.tell(Event::Stored { batch: open[0].0 });
+    rig.tell(Event::BatchStored { batch: open[0].0 });
     assert_eq!(noted(&mut rig), 1);
 }
 
@@ -106,7 +106,7 @@
     }
     rig.pass(20);
     assert!(rig.batches().is_empty(), "too many batches at a time");
-    rig.tell(Event::Stored { batch: first[0].0 });
+    rig.tell(Event::BatchStored { batch: first[0].0 });
     rig.pass(20);
     let next = rig.batches();
     assert!(jobs_of(&next).contains(&&JobId::new(late)), "{next:?}");
--- a/ragwortwick-area/tests/rig/mod.rs
+++ b/ragwortwick-area/tests/rig/mod.rs
@@ -5,8 +5,8 @@
 
 use ragwortwick_area::{
     Action, Coordinator, Customer, DesiredState, EndKind, EndedTask, Event, JobProgress, JobRecord,
-    KnownJob, Limits, Look, LookFailure, Now, OrderReply, Queue, QueuePolicy, Resources,
-    RunningTask, StepSpec, StoredProgress, TaskId, WorkerEntry, WorkerLost,
+    Limits, Now, OrderReply, PollFailure, ProgressRecord, Queue, QueuePolicy, RecoveredJob,
+    Resources, RunningTask, StepSpec, TaskId, WorkerEntry, WorkerLost, WorkerReport,
 };
 use ragwortwick_core::{ClassName, CustomerName, DurationMs, JobId, PoolName, TimeMs, WorkerName};
 
@@ -125,7 +125,7 @@
         Self::take_over(1_000, Vec::new(), workers)
     }
 
-    pub fn take_over(ms: u64, jobs: Vec<KnownJob>, workers: &[WorkerEntry]) -> Self {
+    pub fn take_over(ms: u64, jobs: Vec<RecoveredJob>, workers: &[WorkerEntry]) -> Self {
         let coordinator =
             Coordinator::take_over(at(ms), Limits::default(), desired(), jobs, workers.to_vec());
         let mut rig = Self {
@@ -134,7 +134,7 @@
             actions: Vec::new(),
         };
         let until = TimeMs(ms + 1_000_000);
-        rig.tell(Event::Tenure { until });
+        rig.tell(Event::LeaseExtended { until });
         rig
     }
 
@@ -148,14 +148,14 @@
         let end = self.now.0 + span_ms;
         while self.now.0 < end {
             self.now = TimeMs((self.now.0 + 10).min(end));
-            self.tell(Event::WorkersFresh);
+            self.tell(Event::WorkersConfirmed);
             let actions = self.coordinator.on_wakeup(at(self.now.0));
             self.actions.extend(actions);
         }
     }
 
     /// Takes the batches that wait.
-    pub fn batches(&mut self) -> Vec<(u64, Vec<StoredProgress>)> {
+    pub fn batches(&mut self) -> Vec<(u64, Vec<ProgressRecord>)> {
         self.take(|action| match action {
             Action::Store { batch, records } => Some((*batch, records.clone())),
             _ => None,
@@ -173,7 +173,7 @@
             for (batch, records) in batches {
                 let records = records.into_iter();
                 stored.extend(records.map(|record| (record.job_id, record.progress)));
-                self.tell(Event::Stored { batch });
+                self.tell(Event::BatchStored { batch });
             }
         }
     }
@@ -253,11 +253,11 @@
 
     /// A look at the worker gets no answer.
     pub fn look_fails(&mut self, worker: &WorkerName) {
-        self.look_fails_by(worker, LookFailure::NoAnswer);
+        self.look_fails_by(worker, PollFailure::NoAnswer);
     }
 
-    pub fn look_fails_by(&mut self, worker: &WorkerName, failure: LookFailure) {
-        self.tell(Event::LookFailed {
+    pub fn look_fails_by(&mut self, worker: &WorkerName, failure: PollFailure) {
+        self.tell(Event::PollFailed {
             worker: worker.clone(),
             failure,
         });
@@ -266,7 +266,7 @@
     /// Takes what was told of lost workers.
     pub fn losses(&mut self) -> Vec<WorkerLost> {
         self.take(|action| match action {
-            Action::ReportLoss(lost) => Some(lost.clone()),
+            Action::LogWorkerLoss(lost) => Some(lost.clone()),
             _ => None,
         })
     }
@@ -286,10 +286,10 @@
     }
 
     pub fn look(&mut self, worker: &str, running: Vec<RunningTask>, ended: Vec<EndedTask>) {
-        self.tell(Event::Looked {
+        self.tell(Event::PollReplied {
             worker: WorkerName::new(worker),
             sent_at: self.now,
-            look: Look {
+            report: WorkerReport {
                 clock_ms: 100_000 + self.now.0,
                 running,
                 ended,
--- a/ragwortwick-area/tests/sharing.rs
+++ b/ragwortwick-area/tests/sharing.rs
@@ -46,7 +46,7 @@
 /// Takes the paces that were ordered.
 fn paces(rig: &mut Rig) -> Vec<(TaskId, u32)> {
     rig.take(|action| match action {
-        Action::Pace { task, percent, .. } => Some((task.clone(), *percent)),
+        Action::SetPace { task, percent, .. } => Some((task.clone(), *percent)),
         _ => None,
     })
 }
--- a/ragwortwick-area/tests/takeover.rs
+++ b/ragwortwick-area/tests/takeover.rs
@@ -5,7 +5,8 @@
 use std::sync::Arc;
 
 use ragwortwick_area::{
-    Action, EndKind, Event, KnownJob, LookFailure, OrderReply, RefusalCause, TaskId, WorkerEntry,
+    Action, EndKind, Event, OrderReply, PollFailure, RecoveredJob, RefusalCause, TaskId,
+    WorkerEntry,
 };
 use ragwortwick_core::{JobId, WorkerName};
 use rig::{ATTEMPTS, Rig, ended, gang, job, running, step, worker};
@@ -50,7 +51,7 @@
     }
     let (_, progress) = last.expect("the failed end is stored");
 
-    let known = KnownJob {
+    let known = RecoveredJob {
         record,
         progress: Some(progress),
         is_cancelled: false,
@@ -67,14 +68,14 @@
 }
 
 /// A job of one task as the store has it after its coordinator sent the start and died.
-fn recorded_start(id: &str, workers: &[WorkerEntry]) -> (KnownJob, (WorkerName, TaskId, u32)) {
+fn recorded_start(id: &str, workers: &[WorkerEntry]) -> (RecoveredJob, (WorkerName, TaskId, u32)) {
     let record = job(id, "middle", vec![step(1, 8)]);
     let mut rig = Rig::new(workers);
     rig.tell(Event::JobAccepted(Arc::clone(&record)));
     rig.pass(20);
     let stored = rig.store().pop().expect("the start is announced");
     let start = rig.starts().pop().expect("the task starts");
-    let known = KnownJob {
+    let known = RecoveredJob {
         record,
         progress: Some(stored.1),
         is_cancelled: false,
@@ -95,7 +96,7 @@
         assert_eq!(next.starts(), vec![]);
         next.look_fails(&start.0);
     }
-    next.tell(Event::WorkerGone(start.0.clone()));
+    next.tell(Event::WorkerRemoved(start.0.clone()));
     next.pass(5_000);
     next.store();
     let again = next.starts();
@@ -129,7 +130,7 @@
     let workers = [worker("w1", "r1"), worker("w2", "r1")];
     let (known, start) = recorded_start("00000000000000b1", &workers);
     let mut next = Rig::take_over(10_000, vec![known], &workers);
-    next.tell(Event::WorkerGone(start.0.clone()));
+    next.tell(Event::WorkerRemoved(start.0.clone()));
     // The last lease may have been sent 4 s after the takeover, and lasts 10.7 s with all margins.
     for _ in 0..15 {
         next.look_fails(&start.0);
@@ -149,14 +150,14 @@
     let (task, run) = (start.1.clone(), start.2);
     let job_id = task.job_id.clone();
     let mut next = Rig::take_over(10_000, vec![known], &workers);
-    next.tell(Event::WorkerGone(start.0.clone()));
-    next.tell(Event::EndLeft {
+    next.tell(Event::WorkerRemoved(start.0.clone()));
+    next.tell(Event::CompletionHandedOver {
         task: task.clone(),
         run: run - 1,
     });
     let phase = next.coordinator.phase(&job_id);
     assert_ne!(phase, Some(ragwortwick_area::JobPhase::Completed));
-    next.tell(Event::EndLeft { task, run });
+    next.tell(Event::CompletionHandedOver { task, run });
     let phase = next.coordinator.phase(&job_id);
     assert_eq!(phase, Some(ragwortwick_area::JobPhase::Completed));
     next.pass(20_000);
@@ -216,9 +217,9 @@
     rig.store();
     let start = rig.starts().pop().expect("the task starts");
     rig.accept(&start);
-    rig.tell(Event::LookFailed {
+    rig.tell(Event::PollFailed {
         worker: start.0.clone(),
-        failure: LookFailure::WrongLife,
+        failure: PollFailure::WrongLife,
     });
     rig.pass(30);
     rig.store();
@@ -280,7 +281,9 @@
     rig.pass(400);
     let noted = |rig: &Rig| {
         let looks = rig.actions.iter().filter_map(|action| match action {
-            Action::Look { noted, worker, .. } if *worker == WorkerName::new("w1") => Some(*noted),
+            Action::Poll {
+                acked_end, worker, ..
+            } if *worker == WorkerName::new("w1") => Some(*acked_end),
             _ => None,
         });
         looks.max()
--- a/ragwortwick-daemon/src/area/action_dispatcher.rs
+++ b/ragwortwick-daemon/src/area/action_dispatcher.rs
@@ -1,6 +1,6 @@
 //! Where the actions of a term's coordinator go: the store, the workers, logs and metrics.
 
-use ragwortwick_area::{Action, OverWhy, RunOver, WorkerLost};
+use ragwortwick_area::{Action, OverWhy, RunEnded, WorkerLost};
 use ragwortwick_core::{DurationMs, log_event};
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
@@ -44,10 +44,10 @@
                     self.unstored.assign_batch(batch, &records);
                     self.write(StoreWrite::Batch { batch, records });
                 }
-                Action::Forget(job_id) => self.write(StoreWrite::DeleteJob(job_id)),
+                Action::DeleteJob(job_id) => self.write(StoreWrite::DeleteJob(job_id)),
                 Action::Resign => return false,
-                Action::Report(over) => self.report(&over),
-                Action::ReportLoss(lost) => self.report_loss(&lost),
+                Action::LogRunEnd(over) => self.report(&over),
+                Action::LogWorkerLoss(lost) => self.report_loss(&lost),
                 order => {
                     orders.spawn(self.sender.clone().execute(order));
                 }
@@ -61,7 +61,7 @@
         let _ = self.writes.send(write);
     }
 
-    fn report(&self, over: &RunOver) {
+    fn report(&self, over: &RunEnded) {
         if over.why == OverWhy::Done {
             self.unstored.add(&over.task, over.run);
         }
--- a/ragwortwick-daemon/src/area/batch_writer.rs
+++ b/ragwortwick-daemon/src/area/batch_writer.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use ragwortwick_area::{Event, JobAccount, JobRecord, StoredProgress};
+use ragwortwick_area::{Event, JobAccount, JobRecord, ProgressRecord};
 use ragwortwick_core::{DurationMs, JobId, log_event};
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
@@ -20,7 +20,7 @@
     /// Records of jobs.
     Batch {
         batch: u64,
-        records: Vec<StoredProgress>,
+        records: Vec<ProgressRecord>,
     },
     /// A job that ended long ago.
     DeleteJob(JobId),
@@ -53,7 +53,7 @@
         self.told().remove(job_id);
     }
 
-    pub(super) fn report(&self, stored: &StoredProgress) {
+    pub(super) fn report(&self, stored: &ProgressRecord) {
         let phase = stored.progress.phase;
         if !phase.is_final() {
             return;
@@ -167,13 +167,13 @@
         }
     }
 
-    async fn store(self, batch: u64, records: Vec<StoredProgress>) -> Result<(), TermLost> {
+    async fn store(self, batch: u64, records: Vec<ProgressRecord>) -> Result<(), TermLost> {
         self.progress_store.store(&records).await?;
         self.unstored.remove_batch(batch);
         for record in &records {
             self.ends.report(record);
         }
-        self.events.send(Event::Stored { batch }).await;
+        self.events.send(Event::BatchStored { batch }).await;
         Ok(())
     }
 
--- a/ragwortwick-daemon/src/area/order_sender.rs
+++ b/ragwortwick-daemon/src/area/order_sender.rs
@@ -6,7 +6,7 @@
 use ragwortwick_adapter::{
     AdvisorClient, LookOrder, LookReply, PaceOrder, StartOrder, WorkerClient,
 };
-use ragwortwick_area::{Action, AdviceReply, Event, LookFailure, OrderReply, StepId, TaskId};
+use ragwortwick_area::{Action, AdviceReply, Event, OrderReply, PollFailure, StepId, TaskId};
 use ragwortwick_core::{DurationMs, Epoch, WorkerName, log_event};
 
 use tokio::sync::Mutex as AsyncMutex;
@@ -100,21 +100,21 @@
                 task,
                 run,
             } => self.stop(worker, &address, task, run).await,
-            Action::Look {
+            Action::Poll {
                 worker,
                 address,
                 lease_until_ms,
-                noted,
+                acked_end,
                 wait_ms,
             } => {
                 let order = LookOrder {
                     lease_until_ms,
-                    noted,
+                    noted: acked_end,
                     wait_ms,
                 };
                 self.look(worker, &address, &order).await
             }
-            Action::Pace {
+            Action::SetPace {
                 worker,
                 address,
                 task,
@@ -131,16 +131,16 @@
                     run: order.run,
                 }
             }
-            Action::AskAdvice {
+            Action::RequestAdvice {
                 step,
                 workers,
                 answer_ms,
             } => self.ask(step, workers, answer_ms).await,
             Action::Store { .. }
             | Action::Resign
-            | Action::Forget(_)
-            | Action::Report(_)
-            | Action::ReportLoss(_) => return,
+            | Action::DeleteJob(_)
+            | Action::LogRunEnd(_)
+            | Action::LogWorkerLoss(_) => return,
         };
         self.events.send(event).await;
     }
@@ -240,7 +240,7 @@
                 AdviceReply::Failed
             }
         };
-        Event::Advised {
+        Event::AdviceReplied {
             step,
             asked: workers,
             reply,
@@ -274,17 +274,17 @@
         let sent_at = self.clock.now();
         let reply = self.workers.look(&worker, address, self.term, order).await;
         let failure = match reply {
-            LookReply::Seen(look) => {
-                return Event::Looked {
+            LookReply::Seen(report) => {
+                return Event::PollReplied {
                     worker,
                     sent_at,
-                    look,
+                    report,
                 };
             }
-            LookReply::WrongLife => LookFailure::WrongLife,
-            LookReply::Fenced => LookFailure::Fenced,
-            LookReply::Closed(_) => LookFailure::Closed,
-            LookReply::Failed(_) => LookFailure::NoAnswer,
+            LookReply::WrongLife => PollFailure::WrongLife,
+            LookReply::Fenced => PollFailure::Fenced,
+            LookReply::Closed(_) => PollFailure::Closed,
+            LookReply::Failed(_) => PollFailure::NoAnswer,
         };
         log_event!(
             Info,
@@ -293,6 +293,6 @@
             term = self.term,
             reply = format!("{reply:?}")
         );
-        Event::LookFailed { worker, failure }
+        Event::PollFailed { worker, failure }
     }
 }
--- a/ragwortwick-daemon/src/area/progress_store.rs
+++ b/ragwortwick-daemon/src/area/progress_store.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use ragwortwick_adapter::{Expectation, Item, StoreClient, StoreFailure, Txn, TxnReply, WriteItem};
-use ragwortwick_area::StoredProgress;
+use ragwortwick_area::ProgressRecord;
 use ragwortwick_core::{DurationMs, JobId, Revision, log_event};
 use serde::Serialize;
 
@@ -59,7 +59,7 @@
     /// # Errors
     ///
     /// Fails if the term is over.
-    pub(super) async fn store(&self, records: &[StoredProgress]) -> Result<(), TermLost> {
+    pub(super) async fn store(&self, records: &[ProgressRecord]) -> Result<(), TermLost> {
         let txn = self.txn(records);
         loop {
             let reply = self.store.change(&txn).await;
@@ -87,7 +87,7 @@
         }
     }
 
-    fn txn(&self, records: &[StoredProgress]) -> Txn {
+    fn txn(&self, records: &[ProgressRecord]) -> Txn {
         let mut txn = Txn {
             expect: vec![Expectation {
                 key: COORDINATOR_KEY.to_owned(),
@@ -116,7 +116,7 @@
         &self,
         txn: &Txn,
         items: &[Item],
-        records: &[StoredProgress],
+        records: &[ProgressRecord],
     ) -> Result<(), TermLost> {
         let find = |key: &str| items.iter().find(|item| item.key == key);
         let is_ours = find(COORDINATOR_KEY).is_some_and(|item| item.revision == self.term_revision);
--- a/ragwortwick-daemon/src/area/replica.rs
+++ b/ragwortwick-daemon/src/area/replica.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use ragwortwick_adapter::{Change, Item};
-use ragwortwick_area::{JobPhase, JobProgress, JobRecord, KnownJob};
+use ragwortwick_area::{JobPhase, JobProgress, JobRecord, RecoveredJob};
 use ragwortwick_core::{ClassName, JobId, Revision, log_event};
 
 use super::keys::{JobKeyKind, parse_progress_key};
@@ -166,14 +166,14 @@
     }
 
     /// All jobs with the given progress, for a new term of the coordinator.
-    pub(super) fn known_jobs(&self, mut progress: ProgressByJob) -> Vec<(KnownJob, Revision)> {
+    pub(super) fn known_jobs(&self, mut progress: ProgressByJob) -> Vec<(RecoveredJob, Revision)> {
         let jobs = self.lock();
         jobs.views
             .iter()
             .filter_map(|(job_id, view)| {
                 let stored = progress.remove(job_id);
                 let (progress, revision) = stored.unzip();
-                let known = KnownJob {
+                let known = RecoveredJob {
                     record: Arc::clone(view.record.as_ref()?),
                     progress,
                     is_cancelled: view.is_cancelled,
--- a/ragwortwick-daemon/src/area/replica_feed.rs
+++ b/ragwortwick-daemon/src/area/replica_feed.rs
@@ -1,7 +1,7 @@
 //! Keeps the replica up to date with one watch, and tells the coordinator what changes.
 
 use ragwortwick_adapter::{Change, Item, StoreClient, StoreFailure, WatchReply};
-use ragwortwick_area::{Event, KnownJob};
+use ragwortwick_area::{Event, RecoveredJob};
 use ragwortwick_core::{DurationMs, JobId, Revision, log_event};
 use tokio::sync::{mpsc, oneshot, watch};
 
@@ -43,7 +43,7 @@
 #[derive(Debug)]
 pub(super) struct Subscribe {
     pub(super) events: EventSender,
-    pub(super) reply: oneshot::Sender<Vec<(KnownJob, Revision)>>,
+    pub(super) reply: oneshot::Sender<Vec<(RecoveredJob, Revision)>>,
 }
 
 /// `ReplicaFeed` runs the watch.
@@ -242,6 +242,6 @@
 /// What the coordinator is told of a job's ends that an earlier one left.
 pub(super) fn completion_events(job_id: &JobId, ends: &[HandedOverCompletion]) -> Vec<Event> {
     let ends = ends.iter().map(|end| end.task_and_run(job_id));
-    ends.map(|(task, run)| Event::EndLeft { task, run })
+    ends.map(|(task, run)| Event::CompletionHandedOver { task, run })
         .collect()
 }
--- a/ragwortwick-daemon/src/area/term.rs
+++ b/ragwortwick-daemon/src/area/term.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use ragwortwick_adapter::{StoreClient, StoreFailure};
-use ragwortwick_area::{Action, Coordinator, DesiredState, Event, KnownJob, Limits, Now};
+use ragwortwick_area::{Action, Coordinator, DesiredState, Event, Limits, Now, RecoveredJob};
 use ragwortwick_core::{DurationMs, Epoch, JobId, Revision, TimeMs, log_event};
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::JoinSet;
@@ -146,7 +146,7 @@
         load: LoadStats::default(),
     });
     let until = won.valid_until(won.granted_at);
-    events.send(Event::Tenure { until }).await;
+    events.send(Event::LeaseExtended { until }).await;
     tell_left_ends(parts, &events).await;
 
     let feed = WorkerFeed {
@@ -206,7 +206,7 @@
 }
 
 /// Jobs that had come to their end before this term.
-fn ended_before(jobs: &[(KnownJob, Revision)]) -> HashSet<JobId> {
+fn ended_before(jobs: &[(RecoveredJob, Revision)]) -> HashSet<JobId> {
     jobs.iter()
         .filter(|(job, _)| {
             let progress = job.progress.as_ref();
@@ -217,7 +217,10 @@
 }
 
 /// Reads all jobs as they are now, and has every change from then on sent to the coordinator.
-async fn subscribe(parts: &TermContext, events: &EventSender) -> Option<Vec<(KnownJob, Revision)>> {
+async fn subscribe(
+    parts: &TermContext,
+    events: &EventSender,
+) -> Option<Vec<(RecoveredJob, Revision)>> {
     let (reply, jobs) = oneshot::channel();
     let request = Subscribe {
         events: events.clone(),
@@ -306,7 +309,7 @@
     loop {
         let state = desired.borrow_and_update().clone();
         if let Some(state) = state
-            && !events.send(Event::Desired(state)).await
+            && !events.send(Event::DesiredState(state)).await
         {
             return;
         }
@@ -332,7 +335,7 @@
         match result {
             Ok(()) => {
                 let until = won.valid_until(sent_at);
-                if !events.send(Event::Tenure { until }).await {
+                if !events.send(Event::LeaseExtended { until }).await {
                     return;
                 }
             }
--- a/ragwortwick-daemon/src/area/tests.rs
+++ b/ragwortwick-daemon/src/area/tests.rs
@@ -5,7 +5,7 @@
 
 use ragwortwick_adapter::{Change, Item, StoreClient};
 use ragwortwick_area::{
-    JobPhase, JobProgress, JobRecord, QueuePolicy, StepSpec, StoredProgress, TaskId,
+    JobPhase, JobProgress, JobRecord, ProgressRecord, QueuePolicy, StepSpec, TaskId,
 };
 use ragwortwick_core::{DurationMs, JobId, Revision, TimeMs};
 
@@ -99,7 +99,7 @@
     }));
     let metrics = AreaMetrics::open(StoreClient::open("127.0.0.1:1").counts()).expect("metrics");
     let ends = JobEndReporter::open(replica, metrics.clone(), HashSet::new());
-    let stored = StoredProgress {
+    let stored = ProgressRecord {
         job_id: record.job_id.clone(),
         progress,
         has_new_phase: true,
@@ -124,7 +124,7 @@
         step: 0,
         index,
     };
-    let record_of = |job_id: &str| StoredProgress {
+    let record_of = |job_id: &str| ProgressRecord {
         job_id: JobId::new(job_id),
         progress: JobProgress::default(),
         has_new_phase: false,
--- a/ragwortwick-daemon/src/area/unstored_completions.rs
+++ b/ragwortwick-daemon/src/area/unstored_completions.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use ragwortwick_adapter::{StoreClient, Txn, WriteItem};
-use ragwortwick_area::{StoredProgress, TaskId};
+use ragwortwick_area::{ProgressRecord, TaskId};
 use ragwortwick_core::{DurationMs, JobId, log_event};
 use serde::{Deserialize, Serialize};
 
@@ -78,7 +78,7 @@
     }
 
     /// Notes that a batch holds the records of these jobs as they are now.
-    pub(super) fn assign_batch(&self, batch: u64, records: &[StoredProgress]) {
+    pub(super) fn assign_batch(&self, batch: u64, records: &[ProgressRecord]) {
         for end in self.lock().iter_mut() {
             let is_held = records.iter().any(|record| record.job_id == end.job_id);
             if is_held && end.batch.is_none() {
--- a/ragwortwick-daemon/src/area/worker_feed.rs
+++ b/ragwortwick-daemon/src/area/worker_feed.rs
@@ -77,7 +77,7 @@
                 Ok(next) => {
                     log.record_answer(self.known.len());
                     position = next;
-                    if !self.events.send(Event::WorkersFresh).await {
+                    if !self.events.send(Event::WorkersConfirmed).await {
                         return;
                     }
                     tokio::time::sleep(PAUSE_MS.into()).await;
@@ -138,7 +138,7 @@
                 is_draining = entry.is_draining
             );
         }
-        self.events.send(Event::WorkerSeen(entry)).await;
+        self.events.send(Event::WorkerUpdated(entry)).await;
     }
 
     async fn gone_key(&mut self, key: &str) {
@@ -150,7 +150,7 @@
     async fn gone(&mut self, name: WorkerName) {
         if self.known.remove(&name) {
             log_event!(Info, "worker_gone", worker = name);
-            self.events.send(Event::WorkerGone(name)).await;
+            self.events.send(Event::WorkerRemoved(name)).await;
         }
     }
 }
--- a/ragwortwick-emulator/src/advisor.rs
+++ b/ragwortwick-emulator/src/advisor.rs
@@ -46,7 +46,7 @@
                 valid_ms: Some(TICKET_MS),
             }
         };
-        Event::Advised { step, asked, reply }
+        Event::AdviceReplied { step, asked, reply }
     }
 
     /// Whether a start carries the ticket that it needs, if it needs one.
--- a/ragwortwick-emulator/src/coordination.rs
+++ b/ragwortwick-emulator/src/coordination.rs
@@ -1,6 +1,6 @@
 //! Coordinators in the world: what they hear, and what they ask of the store.
 
-use ragwortwick_area::{Action, Event, JobPhase, JobProgress, StoredProgress, TaskId};
+use ragwortwick_area::{Action, Event, JobPhase, JobProgress, ProgressRecord, TaskId};
 use ragwortwick_core::{DurationMs, JobId};
 use rand::Rng;
 
@@ -61,12 +61,12 @@
                     };
                     self.after(5, commit);
                 }
-                Action::Report(_) | Action::ReportLoss(_) => {}
+                Action::LogRunEnd(_) | Action::LogWorkerLoss(_) => {}
                 Action::Resign => self.hosts[host].term = None,
-                Action::Forget(job_id) => {
+                Action::DeleteJob(job_id) => {
                     self.store.jobs.remove(&job_id);
                 }
-                Action::AskAdvice {
+                Action::RequestAdvice {
                     step,
                     workers,
                     answer_ms,
@@ -98,7 +98,7 @@
         host: usize,
         term: u64,
         batch: u64,
-        records: Vec<StoredProgress>,
+        records: Vec<ProgressRecord>,
     ) {
         let is_term = self.hosts[host]
             .term
@@ -126,7 +126,7 @@
         }
         let is_lost = self.store.loses_answers && self.rng.random_bool(0.5);
         let delay_ms = if is_lost { 120 } else { 2 };
-        let event = Event::Stored { batch };
+        let event = Event::BatchStored { batch };
         self.after(delay_ms, Happening::Hear { host, term, event });
     }
 
--- a/ragwortwick-emulator/src/network.rs
+++ b/ragwortwick-emulator/src/network.rs
@@ -1,6 +1,6 @@
 //! The network of the world: orders and answers that are delayed, lost or cut.
 
-use ragwortwick_area::{Action, Event, LookFailure, OrderReply};
+use ragwortwick_area::{Action, Event, OrderReply, PollFailure};
 use ragwortwick_core::WorkerName;
 use rand::Rng;
 
@@ -8,12 +8,12 @@
 
 impl World {
     pub(crate) fn send(&mut self, host: usize, term: u64, action: Action) {
-        let is_order = !matches!(action, Action::Look { .. });
+        let is_order = !matches!(action, Action::Poll { .. });
         let is_late = self.orders_late && is_order && self.rng.random_bool(0.15);
         let worker = match &action {
             Action::Start { worker, .. }
             | Action::Stop { worker, .. }
-            | Action::Look { worker, .. } => worker.clone(),
+            | Action::Poll { worker, .. } => worker.clone(),
             _ => return,
         };
         if !self.hosts[host].reaches(&worker) {
@@ -62,12 +62,12 @@
                 };
                 (event, 600)
             }
-            Action::Look {
+            Action::Poll {
                 worker, wait_ms, ..
             } => {
-                let event = Event::LookFailed {
+                let event = Event::PollFailed {
                     worker: worker.clone(),
-                    failure: LookFailure::NoAnswer,
+                    failure: PollFailure::NoAnswer,
                 };
                 (event, 700 + wait_ms.0)
             }
@@ -78,10 +78,10 @@
 
     /// The machine of a crashed worker refuses the connection.
     pub(crate) fn reply_refused(&mut self, host: usize, term: u64, action: &Action) {
-        if let Action::Look { worker, .. } = action {
-            let event = Event::LookFailed {
+        if let Action::Poll { worker, .. } = action {
+            let event = Event::PollFailed {
                 worker: worker.clone(),
-                failure: LookFailure::Closed,
+                failure: PollFailure::Closed,
             };
             self.reply(host, term, worker, event);
         } else {
@@ -120,9 +120,9 @@
             run,
             reply: OrderReply::Unknown,
         },
-        Event::Looked { worker, .. } | Event::LookFailed { worker, .. } => Event::LookFailed {
+        Event::PollReplied { worker, .. } | Event::PollFailed { worker, .. } => Event::PollFailed {
             worker,
-            failure: LookFailure::NoAnswer,
+            failure: PollFailure::NoAnswer,
         },
         event => event,
     }
--- a/ragwortwick-emulator/src/pool.rs
+++ b/ragwortwick-emulator/src/pool.rs
@@ -1,6 +1,6 @@
 //! Workers in the world: orders that arrive, and the runs that they begin.
 
-use ragwortwick_area::{Action, EndKind, Event, LookFailure, OrderReply, RefusalCause, TaskId};
+use ragwortwick_area::{Action, EndKind, Event, OrderReply, PollFailure, RefusalCause, TaskId};
 use ragwortwick_core::DurationMs;
 use rand::Rng;
 
@@ -23,7 +23,7 @@
         let name = match &action {
             Action::Start { worker, .. }
             | Action::Stop { worker, .. }
-            | Action::Look { worker, .. } => worker.clone(),
+            | Action::Poll { worker, .. } => worker.clone(),
             _ => return,
         };
         let number = name.as_str().split('-').next().unwrap_or("");
@@ -94,20 +94,20 @@
                     reply,
                 }
             }
-            Action::Look {
+            Action::Poll {
                 worker,
                 lease_until_ms,
-                noted,
+                acked_end,
                 wait_ms,
                 ..
             } => {
                 if is_wrong_life {
-                    Event::LookFailed {
+                    Event::PollFailed {
                         worker,
-                        failure: LookFailure::WrongLife,
+                        failure: PollFailure::WrongLife,
                     }
                 } else {
-                    self.look(host, term, index, lease_until_ms, noted, wait_ms);
+                    self.look(host, term, index, lease_until_ms, acked_end, wait_ms);
                     return;
                 }
             }
--- a/ragwortwick-emulator/src/runs.rs
+++ b/ragwortwick-emulator/src/runs.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use ragwortwick_area::{EndKind, Event, LookFailure, RefusalCause, TaskId};
+use ragwortwick_area::{EndKind, Event, PollFailure, RefusalCause, TaskId};
 use ragwortwick_core::{DurationMs, WorkerName};
 
 use crate::worker::{Presence, WaitingLook};
@@ -150,10 +150,10 @@
     pub(crate) fn answer_look(&mut self, index: usize) {
         if let Some(waiting) = self.workers[index].waiting_look.take() {
             let name = self.workers[index].name.clone();
-            let event = Event::Looked {
+            let event = Event::PollReplied {
                 worker: name.clone(),
                 sent_at: waiting.sent_at,
-                look: self.workers[index].told(self.now),
+                report: self.workers[index].told(self.now),
             };
             self.reply(waiting.host, waiting.term, &name, event);
         }
@@ -174,10 +174,10 @@
             Ok(forgotten) => forgotten,
             Err(cause) => {
                 let failure = match cause {
-                    RefusalCause::Fenced => LookFailure::Fenced,
-                    _ => LookFailure::NoAnswer,
+                    RefusalCause::Fenced => PollFailure::Fenced,
+                    _ => PollFailure::NoAnswer,
                 };
-                let event = Event::LookFailed {
+                let event = Event::PollFailed {
                     worker: name.clone(),
                     failure,
                 };
@@ -214,7 +214,7 @@
             .is_some_and(|at| self.now >= at)
         {
             self.workers[index].presence = Presence::Silent;
-            self.crash(index, LookFailure::NoAnswer);
+            self.crash(index, PollFailure::NoAnswer);
             return;
         }
         for task in self.workers[index].lapse(self.now) {
@@ -258,20 +258,20 @@
         }
         worker.presence = Presence::Refusing;
         self.truth.crashed(task);
-        self.crash(index, LookFailure::Closed);
+        self.crash(index, PollFailure::Closed);
         self.after(CRASHED_FOR_MS, Happening::Back(index));
     }
 
     /// Everything on the worker ends without a trace; gangs lose a member. A look under way fails at once
     /// if its connection is closed, and else when its answer is overdue.
-    pub(crate) fn crash(&mut self, index: usize, failure: LookFailure) {
+    pub(crate) fn crash(&mut self, index: usize, failure: PollFailure) {
         let runs: Vec<(TaskId, u32)> = self.workers[index]
             .running
             .iter()
             .map(|(task, run)| (task.clone(), run.run))
             .collect();
         if let Some(waiting) = self.workers[index].waiting_look.take() {
-            let event = Event::LookFailed {
+            let event = Event::PollFailed {
                 worker: self.workers[index].name.clone(),
                 failure,
             };
@@ -280,7 +280,7 @@
                 term: waiting.term,
                 event,
             };
-            let delay_ms = if failure == LookFailure::Closed {
+            let delay_ms = if failure == PollFailure::Closed {
                 1
             } else {
                 2_700
--- a/ragwortwick-emulator/src/store.rs
+++ b/ragwortwick-emulator/src/store.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use ragwortwick_area::{JobProgress, JobRecord, KnownJob};
+use ragwortwick_area::{JobProgress, JobRecord, RecoveredJob};
 use ragwortwick_core::{DurationMs, JobId, TimeMs};
 
 /// Time to live of the coordinator's lease.
@@ -54,10 +54,10 @@
         true
     }
 
-    pub(crate) fn known_jobs(&self) -> Vec<KnownJob> {
+    pub(crate) fn known_jobs(&self) -> Vec<RecoveredJob> {
         self.jobs
             .values()
-            .map(|job| KnownJob {
+            .map(|job| RecoveredJob {
                 record: Arc::clone(&job.record),
                 progress: job.progress.clone(),
                 is_cancelled: job.cancelled_at.is_some(),
--- a/ragwortwick-emulator/src/time.rs
+++ b/ragwortwick-emulator/src/time.rs
@@ -73,7 +73,7 @@
             told_workers,
         });
         let until = self.now + LEASE_TTL_MS - DurationMs(200);
-        self.hear(host, number, Event::Tenure { until });
+        self.hear(host, number, Event::LeaseExtended { until });
     }
 
     pub(crate) fn renew(&mut self, host: usize) {
@@ -85,7 +85,7 @@
         }
         if self.store.renew(self.now, number) {
             let until = self.now + LEASE_TTL_MS - DurationMs(200);
-            self.hear(host, number, Event::Tenure { until });
+            self.hear(host, number, Event::LeaseExtended { until });
         } else {
             self.hosts[host].term = None;
         }
@@ -117,12 +117,12 @@
                 .filter(|worker| worker.is_up() && !cut.contains(&worker.name))
             {
                 present.insert(worker.name.clone());
-                events.push(Event::WorkerSeen(worker.entry(self.now)));
+                events.push(Event::WorkerUpdated(worker.entry(self.now)));
             }
             let gone: Vec<_> = term.told_workers.difference(&present).cloned().collect();
-            events.extend(gone.into_iter().map(Event::WorkerGone));
+            events.extend(gone.into_iter().map(Event::WorkerRemoved));
             term.told_workers = present;
-            events.push(Event::WorkersFresh);
+            events.push(Event::WorkersConfirmed);
         }
         for event in events {
             self.hear(host, number, event);
--- a/ragwortwick-emulator/src/troubles.rs
+++ b/ragwortwick-emulator/src/troubles.rs
@@ -1,6 +1,6 @@
 //! Troubles that begin and end.
 
-use ragwortwick_area::{LookFailure, Resources};
+use ragwortwick_area::{PollFailure, Resources};
 
 use crate::faults::FaultKind;
 use crate::host::Host;
@@ -73,7 +73,7 @@
                         self.workers[at].draining_since = None;
                         self.workers[at].leaves_at = None;
                         if self.workers[at].is_up() {
-                            self.crash(at, LookFailure::NoAnswer);
+                            self.crash(at, PollFailure::NoAnswer);
                         }
                         self.workers[at].come_back();
                     }
@@ -98,7 +98,7 @@
         for &at in workers {
             if is_on {
                 self.workers[at].presence = Presence::Silent;
-                self.crash(at, LookFailure::NoAnswer);
+                self.crash(at, PollFailure::NoAnswer);
             } else {
                 self.workers[at].come_back();
             }
--- a/ragwortwick-emulator/src/worker.rs
+++ b/ragwortwick-emulator/src/worker.rs
@@ -4,7 +4,8 @@
 use std::sync::Arc;
 
 use ragwortwick_area::{
-    EndKind, EndedTask, Look, OrderReply, RefusalCause, Resources, RunningTask, TaskId, WorkerEntry,
+    EndKind, EndedTask, OrderReply, RefusalCause, Resources, RunningTask, TaskId, WorkerEntry,
+    WorkerReport,
 };
 use ragwortwick_core::{DurationMs, TimeMs, WorkerName};
 
@@ -344,8 +345,8 @@
         Ok(forgotten)
     }
 
-    pub(crate) fn told(&self, now: TimeMs) -> Look {
-        Look {
+    pub(crate) fn told(&self, now: TimeMs) -> WorkerReport {
+        WorkerReport {
             clock_ms: self.clock(now),
             running: self
                 .running
--- a/ragwortwick-emulator/src/world.rs
+++ b/ragwortwick-emulator/src/world.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use ragwortwick_area::{
-    Action, DesiredState, EndKind, Event, JobPhase, Limits, StoredProgress, TaskId,
+    Action, DesiredState, EndKind, Event, JobPhase, Limits, ProgressRecord, TaskId,
 };
 use ragwortwick_core::{DurationMs, JobId, TimeMs, WorkerName};
 use rand::SeedableRng;
@@ -113,7 +113,7 @@
         host: usize,
         term: u64,
         batch: u64,
-        records: Vec<StoredProgress>,
+        records: Vec<ProgressRecord>,
     },
 }
 
