--- a/ragwortwick-daemon/src/area/desired_state_feed.rs
+++ b/ragwortwick-daemon/src/area/desired_state_feed.rs
@@ -3,7 +3,9 @@
 
 use std::sync::Arc;
 
-use ragwortwick_adapter::{Change, DESIRED_KEY, Item, StoreClient, StoreFailure, decode_desired};
+use ragwortwick_adapter::{
+    DESIRED_KEY, KeyValue, StoreClient, StoreError, WatchEvent, decode_desired_state,
+};
 use ragwortwick_area::DesiredState;
 use ragwortwick_core::{DurationMs, Revision, log_event};
 use tokio::sync::watch;
@@ -61,7 +63,7 @@
                     // the path carries before the call ends, the next time more still. The newest
                     // version alone is always of one size.
                     position = None;
-                    if !error.is_gap() {
+                    if !error.is_relist_required() {
                         tokio::time::sleep(FAILED_PAUSE_MS.into()).await;
                     }
                 }
@@ -69,8 +71,8 @@
         }
     }
 
-    async fn read(&self) -> Result<Answer, StoreFailure> {
-        let page = self.store.page(DESIRED_KEY, None).await;
+    async fn read(&self) -> Result<Answer, StoreError> {
+        let page = self.store.list_page(DESIRED_KEY, None).await;
         self.health.record(&page);
         let page = page?;
         for item in &page.items {
@@ -82,26 +84,26 @@
         })
     }
 
-    async fn watch(&self, after: Revision) -> Result<Answer, StoreFailure> {
+    async fn watch(&self, after: Revision) -> Result<Answer, StoreError> {
         let reply = self.store.watch(DESIRED_KEY, after, WATCH_WAIT_MS).await;
         self.health.record(&reply);
         let reply = reply?;
-        for change in &reply.changes {
-            if let Change::Written(item) = change {
+        for change in &reply.events {
+            if let WatchEvent::Written(item) = change {
                 self.take(item);
             }
         }
         Ok(Answer {
             as_of: reply.as_of,
-            entries: reply.changes.len(),
+            entries: reply.events.len(),
         })
     }
 
-    fn take(&self, item: &Item) {
+    fn take(&self, item: &KeyValue) {
         if item.key != DESIRED_KEY {
             return;
         }
-        match decode_desired(&item.value) {
+        match decode_desired_state(&item.value) {
             Ok(state) => self.put_in_force(state, item.revision),
             Err(error) => {
                 log_event!(
--- a/ragwortwick-daemon/src/area/election.rs
+++ b/ragwortwick-daemon/src/area/election.rs
@@ -1,6 +1,6 @@
 //! Who coordinates: every host tries to take the key when it is free.
 
-use ragwortwick_adapter::{Expectation, StoreFailure, Txn, TxnReply, WriteItem};
+use ragwortwick_adapter::{Precondition, StoreError, Txn, TxnReply, WriteItem};
 use ragwortwick_core::{DurationMs, HostName, Revision, log_event};
 use rand::Rng;
 
@@ -84,7 +84,7 @@
 async fn take(
     parts: &TermContext,
     host: &HostName,
-) -> Result<Option<CoordinatorLease>, StoreFailure> {
+) -> Result<Option<CoordinatorLease>, StoreError> {
     let granted_at = parts.clock.now();
     let granted = parts.store.grant_lease(LEASE_TTL_MS).await;
     parts.health.record(&granted);
@@ -92,7 +92,7 @@
     // The lease's number makes the value our own, so that it can be told after a lost answer.
     let value = format!("{{\"host\":\"{host}\",\"lease\":{lease}}}").into_bytes();
     let txn = Txn {
-        expect: vec![Expectation {
+        preconditions: vec![Precondition {
             key: COORDINATOR_KEY.to_owned(),
             revision: Revision(0),
         }],
@@ -103,12 +103,12 @@
         }],
         removes: Vec::new(),
     };
-    let reply = parts.store.change(&txn).await;
+    let reply = parts.store.commit(&txn).await;
     parts.health.record(&reply);
     let revision = match reply {
-        Ok(TxnReply::Done(revision)) => Some(revision),
+        Ok(TxnReply::Committed(revision)) => Some(revision),
         Ok(TxnReply::Conflict(_)) => None,
-        Err(StoreFailure::Unknown(_)) => {
+        Err(StoreError::OutcomeUnknown(_)) => {
             let item = parts.store.get(COORDINATOR_KEY).await?;
             item.filter(|item| item.value == value)
                 .map(|item| item.revision)
@@ -117,7 +117,7 @@
     };
     if revision.is_none() {
         // A lease that holds nothing would only lie about until it ends.
-        drop(parts.store.end_lease(lease).await);
+        drop(parts.store.revoke_lease(lease).await);
     }
     Ok(revision.map(|revision| CoordinatorLease {
         lease,
--- a/ragwortwick-daemon/src/area/feed_monitor.rs
+++ b/ragwortwick-daemon/src/area/feed_monitor.rs
@@ -1,7 +1,7 @@
 //! Tells in logs and metrics when a reader of the store is behind, and how it caught up.
 
 use prometheus::IntCounter;
-use ragwortwick_adapter::StoreFailure;
+use ragwortwick_adapter::StoreError;
 use ragwortwick_core::{TimeMs, log_event};
 
 use super::metrics::AreaMetrics;
@@ -29,7 +29,7 @@
     }
 
     /// Notes a call without a usable answer.
-    pub(super) fn record_failure(&mut self, cause: &StoreFailure) {
+    pub(super) fn record_failure(&mut self, cause: &StoreError) {
         self.failed_calls.inc();
         self.failures += 1;
         if self.failures == 1 {
--- a/ragwortwick-daemon/src/area/host.rs
+++ b/ragwortwick-daemon/src/area/host.rs
@@ -73,7 +73,7 @@
         let health = StoreHealth::open(clock);
         let age = DesiredStateAge::default();
         let replica = JobReplica::default();
-        let metrics = AreaMetrics::open(store.counts()).map_err(AreaHostError::Metrics)?;
+        let metrics = AreaMetrics::open(store.call_counts()).map_err(AreaHostError::Metrics)?;
         let (stopping, stopping_feed) = watch::channel(false);
         let (desired_sender, desired) = watch::channel::<Option<Arc<DesiredState>>>(None);
         let (key_sender, coordinator_key) = watch::channel(CoordinatorKeyState::Unknown);
--- a/ragwortwick-daemon/src/area/job_api.rs
+++ b/ragwortwick-daemon/src/area/job_api.rs
@@ -14,7 +14,9 @@
 use gotham::state::State;
 use http::header::AsHeaderName;
 use http::{HeaderMap, HeaderValue, Method, Response, StatusCode, Uri, header};
-use ragwortwick_adapter::{DEADLINE_HEADER, api_key, decode_job, encode_pending, encode_phase};
+use ragwortwick_adapter::{
+    DEADLINE_HEADER, decode_job, encode_job_phase, encode_pending_count, parse_api_key,
+};
 use ragwortwick_area::{DesiredState, JobRecord, Queue};
 use ragwortwick_core::{ClassName, CustomerName, DurationMs, JobId, TimeMs, log_event};
 use ragwortwick_http::{Refusal, json_response, read_bytes};
@@ -105,7 +107,7 @@
     };
     if call.rest.is_empty() && method == Method::GET {
         let pending = front.writer.replica.count_pending(&call.queue_name);
-        return json_bytes(state, encode_pending(pending));
+        return json_bytes(state, encode_pending_count(pending));
     }
     let Some(job_id) = parse_job_id(&call.rest) else {
         let expected = format!("expected {JOB_ID_DIGITS} hexadecimal digits");
@@ -161,7 +163,7 @@
             "no queue has this host and prefix",
         ));
     };
-    let key = text_of(headers, header::AUTHORIZATION).and_then(api_key);
+    let key = text_of(headers, header::AUTHORIZATION).and_then(parse_api_key);
     let customer = key.and_then(|key| desired.customer_of_key(key));
     let customer = match customer {
         Some(customer) => customer.clone(),
@@ -279,7 +281,7 @@
 
 async fn show(front: &JobApi, state: &mut State, job_id: &JobId) -> Response<Body> {
     match front.writer.find(job_id).await {
-        Ok(Some(view)) => json_bytes(state, encode_phase(view.reported_phase())),
+        Ok(Some(view)) => json_bytes(state, encode_job_phase(view.reported_phase())),
         Ok(None) => respond(state, &WriteOutcome::NoSuchJob),
         Err(error) => respond(state, &WriteOutcome::NotStored(error.to_string())),
     }
--- a/ragwortwick-daemon/src/area/job_writer.rs
+++ b/ragwortwick-daemon/src/area/job_writer.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use ragwortwick_adapter::{Expectation, StoreClient, StoreFailure, Txn, TxnReply, WriteItem};
+use ragwortwick_adapter::{Precondition, StoreClient, StoreError, Txn, TxnReply, WriteItem};
 use ragwortwick_area::JobRecord;
 use ragwortwick_core::{DurationMs, JobId, Revision, TimeMs};
 
@@ -58,7 +58,7 @@
             Err(error) => return WriteOutcome::NotStored(error.to_string()),
         };
         let txn = Txn {
-            expect: vec![absent(&key)],
+            preconditions: vec![absent(&key)],
             writes: vec![WriteItem {
                 key,
                 value,
@@ -83,7 +83,7 @@
         }
         let key = JobKeyKind::Cancel.key_of(job_id);
         let txn = Txn {
-            expect: vec![absent(&key)],
+            preconditions: vec![absent(&key)],
             writes: vec![WriteItem {
                 key,
                 value: b"{}".to_vec(),
@@ -99,7 +99,7 @@
     }
 
     /// Finds a job here or, if it is not known yet, in the store.
-    pub(super) async fn find(&self, job_id: &JobId) -> Result<Option<JobView>, StoreFailure> {
+    pub(super) async fn find(&self, job_id: &JobId) -> Result<Option<JobView>, StoreError> {
         if let Some(view) = self.replica.view(job_id) {
             return Ok(Some(view));
         }
@@ -110,7 +110,7 @@
             return Ok(None);
         };
         self.replica
-            .apply(&ragwortwick_adapter::Change::Written(item));
+            .apply(&ragwortwick_adapter::WatchEvent::Written(item));
         Ok(self.replica.view(job_id))
     }
 
@@ -123,13 +123,13 @@
         let mut doubt: Option<String> = None;
         loop {
             let left_ms = until.since(self.clock.now()).max(RETRY_MS);
-            let reply = self.store.change_within(txn, left_ms).await;
+            let reply = self.store.commit_within(txn, left_ms).await;
             self.health.record(&reply);
             let error = match reply {
-                Ok(TxnReply::Done(revision)) => return Settled::Done(revision),
+                Ok(TxnReply::Committed(revision)) => return Settled::Done(revision),
                 // It exists: an earlier try of ours took effect, or somebody else's did.
                 Ok(TxnReply::Conflict(_)) => return Settled::Exists,
-                Err(StoreFailure::Refused(cause)) if doubt.is_none() => {
+                Err(StoreError::Refused(cause)) if doubt.is_none() => {
                     return Settled::NotDone(cause);
                 }
                 Err(error) => error.to_string(),
@@ -161,8 +161,8 @@
     }
 }
 
-fn absent(key: &str) -> Expectation {
-    Expectation {
+fn absent(key: &str) -> Precondition {
+    Precondition {
         key: key.to_owned(),
         revision: Revision(0),
     }
--- a/ragwortwick-daemon/src/area/metrics.rs
+++ b/ragwortwick-daemon/src/area/metrics.rs
@@ -17,7 +17,7 @@
     CounterVec, Encoder, HistogramOpts, HistogramVec, IntCounterVec, IntGauge, IntGaugeVec, Opts,
     Registry, TextEncoder,
 };
-use ragwortwick_adapter::StoreCall;
+use ragwortwick_adapter::StoreCallCounts;
 
 /// Bounds of the time that taking a job in may take: a round trip to the store up to the deadline.
 const ACCEPT_BUCKETS_S: [f64; 8] = [0.005, 0.01, 0.025, 0.05, 0.1, 0.5, 1.0, 3.0];
@@ -55,7 +55,7 @@
     /// Whether this host coordinates.
     pub(super) is_coordinator: IntGauge,
     store_calls: IntGaugeVec,
-    counts: Arc<StoreCall>,
+    counts: Arc<StoreCallCounts>,
 }
 
 impl AreaMetrics {
@@ -64,7 +64,7 @@
     /// # Errors
     ///
     /// Fails if two metrics have one name.
-    pub(super) fn open(counts: Arc<StoreCall>) -> prometheus::Result<Self> {
+    pub(super) fn open(counts: Arc<StoreCallCounts>) -> prometheus::Result<Self> {
         let registry = Registry::new();
         let counter = |name: &str, help: &str, labels: &[&str]| {
             let counter = IntCounterVec::new(Opts::new(name, help), labels)?;
--- a/ragwortwick-daemon/src/area/order_sender.rs
+++ b/ragwortwick-daemon/src/area/order_sender.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 
 use ragwortwick_adapter::{
-    AdvisorClient, LookOrder, LookReply, PaceOrder, StartOrder, WorkerClient,
+    AdvisorClient, PaceRequest, PollReply, PollRequest, StartRequest, WorkerClient,
 };
 use ragwortwick_area::{Action, AdviceReply, Event, OrderReply, PollFailure, StepId, TaskId};
 use ragwortwick_core::{DurationMs, Epoch, WorkerName, log_event};
@@ -84,7 +84,7 @@
                 lease_until_ms,
                 ticket,
             } => {
-                let order = StartOrder {
+                let order = StartRequest {
                     task,
                     run,
                     payload,
@@ -107,9 +107,9 @@
                 acked_end,
                 wait_ms,
             } => {
-                let order = LookOrder {
+                let order = PollRequest {
                     lease_until_ms,
-                    noted: acked_end,
+                    acked_end,
                     wait_ms,
                 };
                 self.look(worker, &address, &order).await
@@ -121,7 +121,7 @@
                 run,
                 percent,
             } => {
-                let order = PaceOrder { task, run, percent };
+                let order = PaceRequest { task, run, percent };
                 if self.pace(&worker, &address, &order).await {
                     return;
                 }
@@ -153,7 +153,7 @@
         Some(call.await)
     }
 
-    async fn start(&self, worker: WorkerName, address: &str, order: StartOrder) -> Event {
+    async fn start(&self, worker: WorkerName, address: &str, order: StartRequest) -> Event {
         let call = self.workers.start(&worker, address, self.term, &order);
         let reply = self.in_turn(&worker, call).await;
         let reply = reply.unwrap_or(OrderReply::Unknown);
@@ -190,8 +190,8 @@
 
     /// Tells whether the worker confirmed the pace. Orders of a worker go one after the other, so that
     /// an earlier pace does not arrive after a later one.
-    async fn pace(&self, worker: &WorkerName, address: &str, order: &PaceOrder) -> bool {
-        let call = self.workers.pace(worker, address, self.term, order);
+    async fn pace(&self, worker: &WorkerName, address: &str, order: &PaceRequest) -> bool {
+        let call = self.workers.set_pace(worker, address, self.term, order);
         let is_told = self.in_turn(worker, call).await.unwrap_or(false);
         if self.pace_log_limiter.admit(self.clock.now()) {
             log_event!(
@@ -210,7 +210,10 @@
 
     async fn ask(&self, step: StepId, workers: Vec<WorkerName>, answer_ms: DurationMs) -> Event {
         let asked_at = self.clock.now();
-        let reply = self.advisor.ask(&step, &workers, answer_ms).await;
+        let reply = self
+            .advisor
+            .request_advice(&step, &workers, answer_ms)
+            .await;
         let took_ms = self.clock.now().since(asked_at);
         let reply = match reply {
             Ok(reply) => {
@@ -270,21 +273,21 @@
         }
     }
 
-    async fn look(&self, worker: WorkerName, address: &str, order: &LookOrder) -> Event {
+    async fn look(&self, worker: WorkerName, address: &str, order: &PollRequest) -> Event {
         let sent_at = self.clock.now();
-        let reply = self.workers.look(&worker, address, self.term, order).await;
+        let reply = self.workers.poll(&worker, address, self.term, order).await;
         let failure = match reply {
-            LookReply::Seen(report) => {
+            PollReply::Report(report) => {
                 return Event::PollReplied {
                     worker,
                     sent_at,
                     report,
                 };
             }
-            LookReply::WrongLife => PollFailure::WrongLife,
-            LookReply::Fenced => PollFailure::Fenced,
-            LookReply::Closed(_) => PollFailure::Closed,
-            LookReply::Failed(_) => PollFailure::NoAnswer,
+            PollReply::WrongLife => PollFailure::WrongLife,
+            PollReply::Fenced => PollFailure::Fenced,
+            PollReply::Closed(_) => PollFailure::Closed,
+            PollReply::Failed(_) => PollFailure::NoAnswer,
         };
         log_event!(
             Info,
--- a/ragwortwick-daemon/src/area/progress_store.rs
+++ b/ragwortwick-daemon/src/area/progress_store.rs
@@ -3,7 +3,9 @@
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use ragwortwick_adapter::{Expectation, Item, StoreClient, StoreFailure, Txn, TxnReply, WriteItem};
+use ragwortwick_adapter::{
+    KeyValue, Precondition, StoreClient, StoreError, Txn, TxnReply, WriteItem,
+};
 use ragwortwick_area::ProgressRecord;
 use ragwortwick_core::{DurationMs, JobId, Revision, log_event};
 use serde::Serialize;
@@ -62,10 +64,10 @@
     pub(super) async fn store(&self, records: &[ProgressRecord]) -> Result<(), TermLost> {
         let txn = self.txn(records);
         loop {
-            let reply = self.store.change(&txn).await;
+            let reply = self.store.commit(&txn).await;
             self.health.record(&reply);
             match reply {
-                Ok(TxnReply::Done(revision)) => {
+                Ok(TxnReply::Committed(revision)) => {
                     let mut revisions = self.revisions();
                     for record in records {
                         revisions.insert(record.job_id.clone(), revision);
@@ -73,7 +75,7 @@
                     return Ok(());
                 }
                 Ok(TxnReply::Conflict(items)) => return self.compare(&txn, &items, records),
-                Err(StoreFailure::LeaseGone) => return Err(TermLost),
+                Err(StoreError::LeaseNotFound) => return Err(TermLost),
                 Err(error) => {
                     log_event!(
                         Warn,
@@ -89,7 +91,7 @@
 
     fn txn(&self, records: &[ProgressRecord]) -> Txn {
         let mut txn = Txn {
-            expect: vec![Expectation {
+            preconditions: vec![Precondition {
                 key: COORDINATOR_KEY.to_owned(),
                 revision: self.term_revision,
             }],
@@ -99,7 +101,7 @@
         for record in records {
             let key = progress_key(&record.job_id);
             let revision = revisions.get(&record.job_id).copied();
-            txn.expect.push(Expectation {
+            txn.preconditions.push(Precondition {
                 key: key.clone(),
                 revision: revision.unwrap_or_default(),
             });
@@ -115,7 +117,7 @@
     fn compare(
         &self,
         txn: &Txn,
-        items: &[Item],
+        items: &[KeyValue],
         records: &[ProgressRecord],
     ) -> Result<(), TermLost> {
         let find = |key: &str| items.iter().find(|item| item.key == key);
@@ -126,7 +128,8 @@
         for record in records {
             let key = progress_key(&record.job_id);
             let written = txn.writes.iter().find(|write| write.key == key);
-            let is_written = |item: &&Item| written.is_some_and(|write| item.value == write.value);
+            let is_written =
+                |item: &&KeyValue| written.is_some_and(|write| item.value == write.value);
             let Some(item) = find(&key).filter(is_written) else {
                 // Only this term writes these keys, so a third value means that the term is lost.
                 log_event!(Error, "progress_conflict", key = key);
@@ -146,14 +149,14 @@
             .collect();
         removes.push(progress_key(job_id));
         let txn = Txn {
-            expect: vec![Expectation {
+            preconditions: vec![Precondition {
                 key: COORDINATOR_KEY.to_owned(),
                 revision: self.term_revision,
             }],
             writes: Vec::new(),
             removes,
         };
-        let reply = self.store.change(&txn).await;
+        let reply = self.store.commit(&txn).await;
         self.health.record(&reply);
         if let Err(error) = reply {
             log_event!(Warn, "job_not_forgotten", job_id = job_id, cause = error);
--- a/ragwortwick-daemon/src/area/replica.rs
+++ b/ragwortwick-daemon/src/area/replica.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use ragwortwick_adapter::{Change, Item};
+use ragwortwick_adapter::{KeyValue, WatchEvent};
 use ragwortwick_area::{JobPhase, JobProgress, JobRecord, RecoveredJob};
 use ragwortwick_core::{ClassName, JobId, Revision, log_event};
 
@@ -59,7 +59,7 @@
 pub(super) type ProgressByJob = HashMap<JobId, (JobProgress, Revision)>;
 
 /// Reads the jobs' progress; what can't be read is logged and left out.
-pub(super) fn parse_progress(items: &[Item]) -> ProgressByJob {
+pub(super) fn parse_progress(items: &[KeyValue]) -> ProgressByJob {
     let known = items.iter().filter_map(|item| {
         let job_id = parse_progress_key(&item.key)?;
         Some((job_id, (read(item)?, item.revision)))
@@ -109,7 +109,7 @@
 
     /// Takes the whole content of the prefix; what is not in it no longer exists. Of each job, the
     /// news tell its acceptance before its cancel.
-    pub(super) fn load(&self, items: &[Item], as_of: Revision) -> Vec<JobChange> {
+    pub(super) fn load(&self, items: &[KeyValue], as_of: Revision) -> Vec<JobChange> {
         let mut news = Vec::new();
         let mut jobs = self.lock();
         // What was written after the listing began is newer than the listing.
@@ -124,11 +124,11 @@
     }
 
     /// Takes one change; gives what the coordinator has to learn of it.
-    pub(super) fn apply(&self, change: &Change) -> Option<JobChange> {
+    pub(super) fn apply(&self, change: &WatchEvent) -> Option<JobChange> {
         let mut jobs = self.lock();
         match change {
-            Change::Written(item) => jobs.write(item),
-            Change::Removed { key, .. } => {
+            WatchEvent::Written(item) => jobs.write(item),
+            WatchEvent::Removed { key, .. } => {
                 if let Some((job_id, JobKeyKind::Record)) = JobKeyKind::parse(key) {
                     jobs.views.remove(&job_id);
                 }
@@ -185,7 +185,7 @@
 }
 
 impl Jobs {
-    fn write(&mut self, item: &Item) -> Option<JobChange> {
+    fn write(&mut self, item: &KeyValue) -> Option<JobChange> {
         let (job_id, part) = JobKeyKind::parse(&item.key)?;
         let view = self.views.entry(job_id.clone()).or_default();
         match part {
@@ -228,7 +228,7 @@
     }
 }
 
-fn read<T: for<'de> serde::Deserialize<'de>>(item: &Item) -> Option<T> {
+fn read<T: for<'de> serde::Deserialize<'de>>(item: &KeyValue) -> Option<T> {
     match serde_json::from_slice(&item.value) {
         Ok(value) => Some(value),
         Err(error) => {
--- a/ragwortwick-daemon/src/area/replica_feed.rs
+++ b/ragwortwick-daemon/src/area/replica_feed.rs
@@ -1,6 +1,6 @@
 //! Keeps the replica up to date with one watch, and tells the coordinator what changes.
 
-use ragwortwick_adapter::{Change, Item, StoreClient, StoreFailure, WatchReply};
+use ragwortwick_adapter::{KeyValue, StoreClient, StoreError, WatchEvent, WatchReply};
 use ragwortwick_area::{Event, RecoveredJob};
 use ragwortwick_core::{DurationMs, JobId, Revision, log_event};
 use tokio::sync::{mpsc, oneshot, watch};
@@ -66,7 +66,7 @@
     /// A watch was answered.
     Changed(WatchReply),
     /// A call failed.
-    Failed(StoreFailure),
+    Failed(StoreError),
 }
 
 impl ReplicaFeed {
@@ -94,10 +94,10 @@
                     tell(&mut listener, news).await;
                 }
                 Step::Changed(reply) => {
-                    log.record_answer(reply.changes.len());
+                    log.record_answer(reply.events.len());
                     let news = self.take(&reply);
                     tell(&mut listener, news).await;
-                    pause_ms = match (reply.changes.is_empty(), &listener) {
+                    pause_ms = match (reply.events.is_empty(), &listener) {
                         (true, _) => DurationMs(0),
                         (false, Some(_)) => COORDINATOR_PAUSE_MS,
                         (false, None) => FOLLOWER_PAUSE_MS,
@@ -106,7 +106,7 @@
                 }
                 Step::Failed(error) => {
                     log.record_failure(&error);
-                    if error.is_gap() {
+                    if error.is_relist_required() {
                         position = None;
                     } else {
                         pause_ms = FAILED_PAUSE_MS;
@@ -139,7 +139,7 @@
 
     fn take(&self, reply: &WatchReply) -> Vec<JobChange> {
         let mut news = Vec::new();
-        for change in &reply.changes {
+        for change in &reply.events {
             self.see_coordinator(change);
             news.extend(self.replica.apply(change));
         }
@@ -171,18 +171,18 @@
         }
     }
 
-    fn see_coordinator(&self, change: &Change) {
+    fn see_coordinator(&self, change: &WatchEvent) {
         let seen = match change {
-            Change::Written(item) if item.key == COORDINATOR_KEY => {
+            WatchEvent::Written(item) if item.key == COORDINATOR_KEY => {
                 CoordinatorKeyState::Held(item.revision)
             }
-            Change::Removed { key, .. } if key == COORDINATOR_KEY => CoordinatorKeyState::Free,
+            WatchEvent::Removed { key, .. } if key == COORDINATOR_KEY => CoordinatorKeyState::Free,
             _ => return,
         };
         self.coordinator_key.send_replace(seen);
     }
 
-    async fn load(&self) -> Result<(Revision, Vec<JobChange>), StoreFailure> {
+    async fn load(&self) -> Result<(Revision, Vec<JobChange>), StoreError> {
         let (items, as_of) = read_prefix(&self.store, &self.health, REPLICATED_PREFIX).await?;
         let coordinator = items.iter().find(|item| item.key == COORDINATOR_KEY);
         let seen = coordinator.map_or(CoordinatorKeyState::Free, |item| {
@@ -200,8 +200,8 @@
     store: &StoreClient,
     health: &StoreHealth,
     prefix: &str,
-) -> Result<(Vec<Item>, Revision), StoreFailure> {
-    let first = store.page(prefix, None).await;
+) -> Result<(Vec<KeyValue>, Revision), StoreError> {
+    let first = store.list_page(prefix, None).await;
     health.record(&first);
     let first = first?;
     let as_of = first.as_of;
@@ -211,7 +211,7 @@
         let Some(after) = items.last().map(|item| item.key.clone()) else {
             break;
         };
-        let page = store.page(prefix, Some(&after)).await;
+        let page = store.list_page(prefix, Some(&after)).await;
         health.record(&page);
         let page = page?;
         has_more = page.has_more && !page.items.is_empty();
--- a/ragwortwick-daemon/src/area/store_health.rs
+++ b/ragwortwick-daemon/src/area/store_health.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
-use ragwortwick_adapter::StoreFailure;
+use ragwortwick_adapter::StoreError;
 use ragwortwick_core::{DurationMs, TimeMs, log_event};
 
 use crate::Clock;
@@ -35,10 +35,10 @@
     }
 
     /// Notes how a call went.
-    pub(super) fn record<T>(&self, result: &Result<T, StoreFailure>) {
+    pub(super) fn record<T>(&self, result: &Result<T, StoreError>) {
         let is_answer = match result {
-            Ok(_) | Err(StoreFailure::LeaseGone) => true,
-            Err(failure) => failure.is_gap(),
+            Ok(_) | Err(StoreError::LeaseNotFound) => true,
+            Err(failure) => failure.is_relist_required(),
         };
         let was_failing = self.is_failing.swap(!is_answer, Ordering::Relaxed);
         if is_answer {
--- a/ragwortwick-daemon/src/area/term.rs
+++ b/ragwortwick-daemon/src/area/term.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 use std::sync::Arc;
 
-use ragwortwick_adapter::{StoreClient, StoreFailure};
+use ragwortwick_adapter::{StoreClient, StoreError};
 use ragwortwick_area::{Action, Coordinator, DesiredState, Event, Limits, Now, RecoveredJob};
 use ragwortwick_core::{DurationMs, Epoch, JobId, Revision, TimeMs, log_event};
 use tokio::sync::{mpsc, oneshot, watch};
@@ -79,7 +79,7 @@
         Err(error) => error.to_string(),
     };
     // Whoever is next need not wait for the lease to run out.
-    let ended = parts.store.end_lease(won.lease).await;
+    let ended = parts.store.revoke_lease(won.lease).await;
     log_event!(
         Info,
         "term_ends",
@@ -93,7 +93,7 @@
     parts: &TermContext,
     won: CoordinatorLease,
     term: Epoch,
-) -> Result<&'static str, StoreFailure> {
+) -> Result<&'static str, StoreError> {
     let Some(desired) = parts.desired.borrow().clone() else {
         return Ok("no desired state yet");
     };
@@ -105,7 +105,7 @@
         machine: None,
     };
     let duty = Duty::spawn("coordinator", RING_LENGTH, parts.clock, machine)
-        .map_err(|error| StoreFailure::Refused(error.to_string()))?;
+        .map_err(|error| StoreError::Refused(error.to_string()))?;
     let events = EventSender(duty.ring());
     let Some(jobs) = subscribe(parts, &events).await else {
         drop(start);
@@ -330,7 +330,7 @@
     loop {
         tokio::time::sleep(RENEW_MS.into()).await;
         let sent_at = parts.clock.now();
-        let result = parts.store.keep_lease(won.lease, RENEW_TIMEOUT_MS).await;
+        let result = parts.store.renew_lease(won.lease, RENEW_TIMEOUT_MS).await;
         parts.health.record(&result);
         match result {
             Ok(()) => {
@@ -339,7 +339,7 @@
                     return;
                 }
             }
-            Err(StoreFailure::LeaseGone) => {
+            Err(StoreError::LeaseNotFound) => {
                 let _ = end.send("the lease has run out").await;
                 return;
             }
--- a/ragwortwick-daemon/src/area/tests.rs
+++ b/ragwortwick-daemon/src/area/tests.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 use std::sync::Arc;
 
-use ragwortwick_adapter::{Change, Item, StoreClient};
+use ragwortwick_adapter::{KeyValue, StoreClient, WatchEvent};
 use ragwortwick_area::{
     JobPhase, JobProgress, JobRecord, ProgressRecord, QueuePolicy, StepSpec, TaskId,
 };
@@ -36,8 +36,8 @@
     })
 }
 
-fn written(record: &JobRecord, revision: u64) -> Change {
-    Change::Written(Item {
+fn written(record: &JobRecord, revision: u64) -> WatchEvent {
+    WatchEvent::Written(KeyValue {
         key: JobKeyKind::Record.key_of(&record.job_id),
         value: serde_json::to_vec(record).expect("a record is written"),
         revision: Revision(revision),
@@ -63,12 +63,12 @@
 fn verify_reading_anew_tells_of_a_job_before_its_cancel() {
     let replica = JobReplica::default();
     let record = record("00000000000000ac");
-    let cancel = Item {
+    let cancel = KeyValue {
         key: JobKeyKind::Cancel.key_of(&record.job_id),
         value: Vec::new(),
         revision: Revision(6),
     };
-    let Change::Written(accepted) = written(&record, 5) else {
+    let WatchEvent::Written(accepted) = written(&record, 5) else {
         unreachable!("a record was written");
     };
     let mut items = vec![accepted, cancel];
@@ -92,12 +92,13 @@
         phase: JobPhase::Completed,
         ..JobProgress::default()
     };
-    replica.apply(&Change::Written(Item {
+    replica.apply(&WatchEvent::Written(KeyValue {
         key: JobKeyKind::Phase.key_of(&record.job_id),
         value: serde_json::to_vec(&progress.phase).expect("a phase is written"),
         revision: Revision(6),
     }));
-    let metrics = AreaMetrics::open(StoreClient::open("127.0.0.1:1").counts()).expect("metrics");
+    let metrics =
+        AreaMetrics::open(StoreClient::open("127.0.0.1:1").call_counts()).expect("metrics");
     let ends = JobEndReporter::open(replica, metrics.clone(), HashSet::new());
     let stored = ProgressRecord {
         job_id: record.job_id.clone(),
--- a/ragwortwick-daemon/src/area/unstored_completions.rs
+++ b/ragwortwick-daemon/src/area/unstored_completions.rs
@@ -129,7 +129,7 @@
 
 async fn write(store: &StoreClient, health: &StoreHealth, txn: &Txn) -> bool {
     for _ in 0..TRIES {
-        let reply = store.change(txn).await;
+        let reply = store.commit(txn).await;
         health.record(&reply);
         if reply.is_ok() {
             return true;
--- a/ragwortwick-daemon/src/area/worker_feed.rs
+++ b/ragwortwick-daemon/src/area/worker_feed.rs
@@ -3,7 +3,8 @@
 use std::collections::BTreeSet;
 
 use ragwortwick_adapter::{
-    Change, Item, StoreClient, StoreFailure, WORKERS_PREFIX, decode_worker, worker_key,
+    KeyValue, StoreClient, StoreError, WORKERS_PREFIX, WatchEvent, decode_worker_entry,
+    worker_name_from_key,
 };
 use ragwortwick_area::{Event, WorkerEntry};
 use ragwortwick_core::{DurationMs, Revision, WorkerName, log_event};
@@ -42,14 +43,14 @@
 pub(super) async fn read_workers(
     store: &StoreClient,
     health: &StoreHealth,
-) -> Result<(Vec<WorkerEntry>, Revision), StoreFailure> {
+) -> Result<(Vec<WorkerEntry>, Revision), StoreError> {
     let (items, as_of) = read_prefix(store, health, WORKERS_PREFIX).await?;
     Ok((items.iter().filter_map(entry).collect(), as_of))
 }
 
-fn entry(item: &Item) -> Option<WorkerEntry> {
-    let name = worker_key(&item.key)?;
-    match decode_worker(&name, &item.value) {
+fn entry(item: &KeyValue) -> Option<WorkerEntry> {
+    let name = worker_name_from_key(&item.key)?;
+    match decode_worker_entry(&name, &item.value) {
         Ok(entry) => Some(entry),
         Err(error) => {
             log_event!(
@@ -84,7 +85,7 @@
                 }
                 Err(error) => {
                     log.record_failure(&error);
-                    if error.is_gap() {
+                    if error.is_relist_required() {
                         position = None;
                     } else {
                         tokio::time::sleep(FAILED_PAUSE_MS.into()).await;
@@ -94,7 +95,7 @@
         }
     }
 
-    async fn read(&mut self) -> Result<Option<Revision>, StoreFailure> {
+    async fn read(&mut self) -> Result<Option<Revision>, StoreError> {
         let (entries, as_of) = read_workers(&self.store, &self.health).await?;
         let present: BTreeSet<WorkerName> =
             entries.iter().map(|entry| entry.name.clone()).collect();
@@ -108,20 +109,20 @@
         Ok(Some(as_of))
     }
 
-    async fn watch(&mut self, after: Revision) -> Result<Option<Revision>, StoreFailure> {
+    async fn watch(&mut self, after: Revision) -> Result<Option<Revision>, StoreError> {
         let reply = self.store.watch(WORKERS_PREFIX, after, WATCH_WAIT_MS).await;
         self.health.record(&reply);
         let reply = reply?;
-        if reply.changes.is_empty() && !self.known.is_empty() {
+        if reply.events.is_empty() && !self.known.is_empty() {
             return self.read().await;
         }
-        for change in &reply.changes {
+        for change in &reply.events {
             match change {
-                Change::Written(item) => match entry(item) {
+                WatchEvent::Written(item) => match entry(item) {
                     Some(entry) => self.seen(entry).await,
                     None => self.gone_key(&item.key).await,
                 },
-                Change::Removed { key, .. } => self.gone_key(key).await,
+                WatchEvent::Removed { key, .. } => self.gone_key(key).await,
             }
         }
         Ok(Some(reply.as_of))
@@ -142,7 +143,7 @@
     }
 
     async fn gone_key(&mut self, key: &str) {
-        if let Some(name) = worker_key(key) {
+        if let Some(name) = worker_name_from_key(key) {
             self.gone(name).await;
         }
     }
