--- a/ragwortwick-area/src/advice.rs
+++ b/ragwortwick-area/src/advice.rs
@@ -96,7 +96,7 @@
     /// How the advisor of a candidate's queue answers; none if its jobs run on any worker.
     pub(crate) fn advice_terms(&self, candidate: &Candidate) -> Option<&AdvisorTiming> {
         let job = self.jobs.get(&candidate.job_id)?;
-        self.terms_of(job).advice.as_ref()
+        self.queue_policy(job).advice.as_ref()
     }
 
     /// The workers that a candidate may go to now; none if any is good.
@@ -137,7 +137,7 @@
         task: &TaskId,
     ) -> Result<Option<Arc<str>>, NoTicket> {
         let job = self.jobs.get(&task.job_id).ok_or(NoTicket)?;
-        if self.terms_of(job).advice.is_none() {
+        if self.queue_policy(job).advice.is_none() {
             return Ok(None);
         }
         let step = self.advice.steps.get(&task.step_id());
@@ -215,7 +215,7 @@
         let Some(job) = job.filter(|job| !job.phase.is_final()) else {
             return;
         };
-        let terms = self.terms_of(job).advice.as_ref();
+        let terms = self.queue_policy(job).advice.as_ref();
         let valid_ms = valid_ms.or(terms.map(|terms| terms.valid_ms));
         let valid_ms = valid_ms.unwrap_or_default();
         let margin_ms = TICKET_MARGIN_MS.min(DurationMs(valid_ms.0 / MARGIN_PART));
--- a/ragwortwick-area/src/allocation.rs
+++ b/ragwortwick-area/src/allocation.rs
@@ -58,7 +58,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Allocation {
     pub(crate) run: u32,
-    pub(crate) need: Resources,
+    pub(crate) resources: Resources,
     pub(crate) phase: AllocationPhase,
     /// Zero comes first; what has a higher number may be preempted.
     pub(crate) priority: u32,
@@ -71,9 +71,9 @@
     /// Whether it goes on from a checkpoint, or may have begun before this coordinator's term.
     pub(crate) is_resumed: bool,
     /// How often its start was sent.
-    pub(crate) tries: u32,
+    pub(crate) start_attempts: u32,
     /// Crashes of workers under its task before it began.
-    pub(crate) crashes: CrashRecord,
+    pub(crate) crash_history: CrashRecord,
     /// What it is to others on its worker.
     pub(crate) role: Role,
     /// Whether it goes on from a checkpoint if it is stopped.
@@ -81,36 +81,36 @@
     /// How long it takes by its customer's estimate.
     pub(crate) expected_ms: DurationMs,
     /// Whether its progress tells something: what lasts has none, and fillers are slowed down.
-    pub(crate) is_watched: bool,
+    pub(crate) is_tracked: bool,
     /// Its progress as last told.
-    pub(crate) watch: Option<Watch>,
+    pub(crate) tracker: Option<Watch>,
     /// The load that its worker told last.
     pub(crate) load: u32,
     /// The pace that its worker knows of; none if that is in doubt.
-    pub(crate) pace_told: Option<u32>,
+    pub(crate) confirmed_pace_percent: Option<u32>,
 }
 
 impl Allocation {
     /// A run whose start waits to be stored.
-    pub(crate) fn intended(now: TimeMs, spec: &StepSpec, run: u32, priority: u32) -> Self {
+    pub(crate) fn awaiting_record(now: TimeMs, spec: &StepSpec, run: u32, priority: u32) -> Self {
         Self {
             run,
-            need: spec.demand(),
+            resources: spec.demand(),
             phase: AllocationPhase::AwaitingRecord,
             priority,
             placed_at: now,
             started_at: None,
             checkpoint: "".into(),
             is_resumed: false,
-            tries: 0,
-            crashes: CrashRecord::default(),
+            start_attempts: 0,
+            crash_history: CrashRecord::default(),
             role: Role::of(spec),
             saves_checkpoints: spec.saves_checkpoints,
             expected_ms: spec.estimate_ms,
-            is_watched: !spec.is_long_running && !spec.is_filler,
-            watch: None,
+            is_tracked: !spec.is_long_running && !spec.is_filler,
+            tracker: None,
             load: 0,
-            pace_told: Some(100),
+            confirmed_pace_percent: Some(100),
         }
     }
 
@@ -119,7 +119,7 @@
     }
 
     /// How long it has run in vain if it is over now without having done its work.
-    pub(crate) fn vain_ms(&self, now: TimeMs, restore_ms: DurationMs) -> DurationMs {
+    pub(crate) fn wasted_ms(&self, now: TimeMs, restore_ms: DurationMs) -> DurationMs {
         let ran_ms = self.started_at.map_or(DurationMs(0), |at| now.since(at));
         if self.saves_checkpoints {
             ran_ms.min(restore_ms)
--- a/ragwortwick-area/src/candidates.rs
+++ b/ragwortwick-area/src/candidates.rs
@@ -68,7 +68,7 @@
                 next_due = Some(next_due.map_or(until, |at| at.min(until)));
                 continue;
             }
-            let terms = self.terms_of(job);
+            let terms = self.queue_policy(job);
             for occurrence in 0..job.record.occurrence_count() {
                 let due_at = due_at(now, &job.record, job.accepted_at, occurrence);
                 if due_at > now.steady {
@@ -107,11 +107,11 @@
                 }
             }
         }
-        self.next_due_at = next_due;
-        self.cleared_for
+        self.next_scheduled_at = next_due;
+        self.preempted_for
             .retain(|_, at| now.steady.since(*at) <= CLEARED_MS);
         for candidate in &mut found {
-            candidate.cleared_at = self.cleared_for.get(&candidate.step_id()).copied();
+            candidate.cleared_at = self.preempted_for.get(&candidate.step_id()).copied();
         }
         self.mark_guaranteed(&mut found, urgent_use);
         found
@@ -151,11 +151,11 @@
     pub(crate) fn urgent_use(&self) -> UrgentUse {
         let mut used = UrgentUse::default();
         for worker in self.workers.values() {
-            for (task, held) in &worker.held {
+            for (task, held) in &worker.allocations {
                 if held.priority != 0 || held.is_stopping() {
                     continue;
                 }
-                let accelerators = held.need.accelerators;
+                let accelerators = held.resources.accelerators;
                 *used.by_pool.entry(worker.entry.pool.clone()).or_insert(0) += accelerators;
                 if let Some(job) = self.jobs.get(&task.job_id) {
                     let customer = job.record.customer.clone();
--- a/ragwortwick-area/src/coordinator.rs
+++ b/ragwortwick-area/src/coordinator.rs
@@ -23,7 +23,7 @@
 ///
 /// It covers a store outage of lease plus this; a successor waits as long before it gives up a run
 /// on a worker that it can't reach.
-pub(crate) const RENEWAL_AFTER_TENURE_MS: DurationMs = DurationMs(4_000);
+pub(crate) const RENEWAL_AFTER_LEASE_LOSS_MS: DurationMs = DurationMs(4_000);
 
 /// How old the list of workers may be when work is placed by it.
 ///
@@ -83,9 +83,9 @@
     pub(crate) records: Records,
     pub(crate) advice: Advice,
     pub(crate) actions: Vec<Action>,
-    pub(crate) tenure_until: TimeMs,
+    pub(crate) lease_valid_until: TimeMs,
     workers_fresh_at: Option<TimeMs>,
-    pub(crate) wants_pass: bool,
+    pub(crate) needs_pass: bool,
     next_pass_at: TimeMs,
     /// When the pass began whose end is not known yet.
     pass_began: Option<TimeMs>,
@@ -94,21 +94,21 @@
     /// When looks were last sent.
     looks_sent_at: TimeMs,
     /// When the next look is due, if nothing happens before.
-    pub(crate) next_look_at: Option<TimeMs>,
+    pub(crate) next_poll_at: Option<TimeMs>,
     /// Whether an order may be due before the next regular look for due ones.
-    pub(crate) wants_orders: bool,
+    pub(crate) has_due_orders: bool,
     next_chores_at: TimeMs,
-    pub(crate) next_due_at: Option<TimeMs>,
+    pub(crate) next_scheduled_at: Option<TimeMs>,
     /// Accelerator-seconds and number of the jobs that each queue has brought.
-    pub(crate) work_seen: BTreeMap<ClassName, (f64, u32)>,
+    pub(crate) submitted_work: BTreeMap<ClassName, (f64, u32)>,
     /// Workers on which the last pass kept room.
-    pub(crate) kept_workers: BTreeSet<WorkerName>,
+    pub(crate) reserved_workers: BTreeSet<WorkerName>,
     /// Recent peak of urgent demand in each pool.
     pub(crate) urgent_peaks: BTreeMap<PoolName, UrgentPeak>,
     /// Workers that were lost lately.
     pub(crate) losses: Losses,
     /// Steps for which others were stopped, and when that was.
-    pub(crate) cleared_for: BTreeMap<StepId, TimeMs>,
+    pub(crate) preempted_for: BTreeMap<StepId, TimeMs>,
 }
 
 impl Coordinator {
@@ -132,22 +132,22 @@
             records: Records::default(),
             advice: Advice::default(),
             actions: Vec::new(),
-            tenure_until: now.steady,
+            lease_valid_until: now.steady,
             workers_fresh_at: Some(now.steady),
-            wants_pass: true,
+            needs_pass: true,
             next_pass_at: TimeMs(0),
             pass_began: None,
             wants_looks: true,
             looks_sent_at: TimeMs(0),
-            next_look_at: None,
-            wants_orders: true,
+            next_poll_at: None,
+            has_due_orders: true,
             next_chores_at: TimeMs(0),
-            next_due_at: None,
-            work_seen: BTreeMap::new(),
-            kept_workers: BTreeSet::new(),
+            next_scheduled_at: None,
+            submitted_work: BTreeMap::new(),
+            reserved_workers: BTreeSet::new(),
             urgent_peaks: BTreeMap::new(),
             losses: Losses::default(),
-            cleared_for: BTreeMap::new(),
+            preempted_for: BTreeMap::new(),
         };
         for entry in entries {
             let name = entry.name.clone();
@@ -156,7 +156,7 @@
                 .insert(name, Worker::new(now.steady, entry));
         }
         for job in jobs {
-            coordinator.inherit(now, job);
+            coordinator.recover_job(now, job);
         }
         coordinator
     }
@@ -171,32 +171,36 @@
             Event::JobAccepted(record) => self.job_accepted(now, record),
             Event::JobCancelled(job_id) => self.cancel(now.steady, &job_id),
             Event::BatchStored { batch } => self.stored(now.steady, batch),
-            Event::CompletionHandedOver { task, run } => self.end_left(now.steady, &task, run),
+            Event::CompletionHandedOver { task, run } => {
+                self.on_completion_handed_over(now.steady, &task, run);
+            }
             Event::StartReplied {
                 worker,
                 task,
                 run,
                 reply,
-            } => self.start_replied(now.steady, &worker, &task, run, reply),
+            } => self.on_start_replied(now.steady, &worker, &task, run, reply),
             Event::StopReplied {
                 worker,
                 task,
                 run,
                 reply,
-            } => self.stop_replied(now.steady, &worker, &task, run, reply),
+            } => self.on_stop_replied(now.steady, &worker, &task, run, reply),
             Event::PollReplied {
                 worker,
                 sent_at,
                 report,
-            } => self.looked(now.steady, &worker, sent_at, &report),
-            Event::PollFailed { worker, failure } => self.look_failed(now.steady, &worker, failure),
+            } => self.on_poll_reply(now.steady, &worker, sent_at, &report),
+            Event::PollFailed { worker, failure } => {
+                self.on_poll_failed(now.steady, &worker, failure);
+            }
             Event::PaceFailed { worker, task, run } => self.pace_failed(&worker, &task, run),
             Event::AdviceReplied { step, asked, reply } => {
                 self.advice_came(now.steady, step, asked, reply);
             }
-            Event::LeaseExtended { until } => self.tenure_until = until,
+            Event::LeaseExtended { until } => self.lease_valid_until = until,
         }
-        self.wants_pass = true;
+        self.needs_pass = true;
         self.wants_looks = true;
         self.act(now)
     }
@@ -210,14 +214,14 @@
     #[must_use]
     pub fn next_wakeup(&self, now: Now) -> Option<TimeMs> {
         let is_busy =
-            self.records.is_waiting() || self.next_look_at.is_some() || !self.open_jobs.is_empty();
+            self.records.is_waiting() || self.next_poll_at.is_some() || !self.open_jobs.is_empty();
         let tick = is_busy.then(|| now.steady + TICK_MS);
-        let pass = self.wants_pass.then_some(self.next_pass_at);
-        let due = self.next_due_at.map(|at| at.max(self.next_pass_at));
+        let pass = self.needs_pass.then_some(self.next_pass_at);
+        let due = self.next_scheduled_at.map(|at| at.max(self.next_pass_at));
         let look = if self.wants_looks {
             Some(self.looks_sent_at + LOOKS_INTERVAL_MS)
         } else {
-            self.next_look_at
+            self.next_poll_at
         };
         [tick, pass, due, look].into_iter().flatten().min()
     }
@@ -227,34 +231,34 @@
         if has_chores {
             self.next_chores_at = now.steady + CHORES_MS;
             self.wants_looks = true;
-            self.expire(now.steady);
+            self.expire_leases(now.steady);
             self.judge_losses(now.steady);
             self.forget_old(now.steady);
         }
-        let is_due = self.next_due_at.is_some_and(|at| at <= now.steady);
-        if (self.wants_pass || is_due) && now.steady >= self.next_pass_at {
-            self.wants_pass = false;
+        let is_due = self.next_scheduled_at.is_some_and(|at| at <= now.steady);
+        if (self.needs_pass || is_due) && now.steady >= self.next_pass_at {
+            self.needs_pass = false;
             self.pass_began = Some(now.steady);
             self.next_pass_at = now.steady + PASS_INTERVAL_MS;
             self.evacuate(now.steady);
             self.pass(now);
         }
         self.flush(now.steady);
-        if has_chores || std::mem::take(&mut self.wants_orders) {
+        if has_chores || std::mem::take(&mut self.has_due_orders) {
             self.send_orders(now.steady);
         }
-        let is_look_due = self.wants_looks || self.next_look_at.is_some_and(|at| at <= now.steady);
+        let is_look_due = self.wants_looks || self.next_poll_at.is_some_and(|at| at <= now.steady);
         if is_look_due && now.steady.since(self.looks_sent_at) >= LOOKS_INTERVAL_MS {
             self.wants_looks = false;
             self.looks_sent_at = now.steady;
-            self.send_looks(now.steady);
+            self.send_polls(now.steady);
         }
         std::mem::take(&mut self.actions)
     }
 
-    /// `call_ended` tells when the last call was over, so that a long pass leaves time to the events
+    /// `record_call_end` tells when the last call was over, so that a long pass leaves time to the events
     /// that came meanwhile.
-    pub fn call_ended(&mut self, now: TimeMs) {
+    pub fn record_call_end(&mut self, now: TimeMs) {
         if let Some(began) = self.pass_began.take() {
             let pause_ms = DurationMs(now.since(began).0 * PAUSE_PER_PASS)
                 .clamp(PASS_INTERVAL_MS, MOST_PASS_PAUSE_MS);
@@ -280,19 +284,19 @@
         self.jobs.get(job_id).map(|job| job.phase)
     }
 
-    /// `may_order` tells whether the term still allows new work to be started.
-    pub(crate) fn may_order(&self, now: TimeMs) -> bool {
-        now < self.tenure_until
+    /// `can_start_work` tells whether the term still allows new work to be started.
+    pub(crate) fn can_start_work(&self, now: TimeMs) -> bool {
+        now < self.lease_valid_until
     }
 
     /// Whether the list of workers is new enough to place work by it.
-    pub(crate) fn knows_workers(&self, now: TimeMs) -> bool {
+    pub(crate) fn has_fresh_workers(&self, now: TimeMs) -> bool {
         self.workers_fresh_at
             .is_some_and(|at| now.since(at) <= WORKERS_FRESH_MS)
     }
 
     /// The terms in force for a job: the desired state's, or those of its acceptance.
-    pub(crate) fn terms_of<'a>(&'a self, job: &'a JobState) -> &'a QueuePolicy {
+    pub(crate) fn queue_policy<'a>(&'a self, job: &'a JobState) -> &'a QueuePolicy {
         self.desired
             .queues
             .get(&job.record.queue)
@@ -301,7 +305,7 @@
 
     fn worker_seen(&mut self, now: TimeMs, entry: WorkerEntry) {
         if let Some(worker) = self.workers.get_mut(&entry.name) {
-            worker.refresh(now, entry);
+            worker.update_entry(now, entry);
         } else {
             self.workers
                 .insert(entry.name.clone(), Worker::new(now, entry));
@@ -312,7 +316,7 @@
         if let Some(worker) = self.workers.get_mut(name) {
             // Its runs may go on: an entry also vanishes when the worker is cut off from the store.
             worker.is_listed = false;
-            if worker.is_forgettable() {
+            if worker.can_be_removed() {
                 self.workers.remove(name);
             }
         }
@@ -323,19 +327,19 @@
         if self.jobs.contains_key(&job_id) {
             return;
         }
-        let accepted_at = steady_of(now, record.accepted_unix_ms);
+        let accepted_at = unix_to_steady(now, record.accepted_unix_ms);
         let mut job = JobState::new(record, accepted_at);
         if job.occurrences.iter().all(Vec::is_empty) {
             job.phase = JobPhase::Completed;
         }
-        self.count_work(&job);
+        self.record_work(&job);
         self.jobs.insert(job_id.clone(), job);
         self.open_jobs.insert(job_id);
     }
 
-    pub(crate) fn count_work(&mut self, job: &JobState) {
+    pub(crate) fn record_work(&mut self, job: &JobState) {
         let seen = self
-            .work_seen
+            .submitted_work
             .entry(job.record.queue.clone())
             .or_insert((0.0, 0));
         seen.0 += whole_work(job);
@@ -350,11 +354,11 @@
             return;
         }
         job.phase = JobPhase::Cancelled;
-        self.job_over(now, job_id);
+        self.end_job(now, job_id);
     }
 
     /// A job has come to its end: nothing of it is placed any more, and what runs has to stop.
-    pub(crate) fn job_over(&mut self, now: TimeMs, job_id: &JobId) {
+    pub(crate) fn end_job(&mut self, now: TimeMs, job_id: &JobId) {
         if let Some(job) = self.jobs.get_mut(job_id) {
             job.ended_at = Some(now);
             job.accounting.close(now);
@@ -364,12 +368,12 @@
         self.records.mark(job_id);
         let is_completed = self.phase(job_id) == Some(JobPhase::Completed);
         if !is_completed {
-            self.stop_where(now, OverWhy::JobOver, |task| task.job_id == *job_id);
+            self.stop_matching(now, OverWhy::JobOver, |task| task.job_id == *job_id);
         }
     }
 }
 
 /// Unix time on the steady clock, not later than now.
-pub(crate) fn steady_of(now: Now, unix: TimeMs) -> TimeMs {
+pub(crate) fn unix_to_steady(now: Now, unix: TimeMs) -> TimeMs {
     now.steady - now.unix.since(unix)
 }
--- a/ragwortwick-area/src/crashes.rs
+++ b/ragwortwick-area/src/crashes.rs
@@ -114,12 +114,12 @@
 impl Worker {
     /// Whether nothing has begun here lately, so that a crash would tell against what begins next alone.
     pub(crate) fn is_quiet(&self, now: TimeMs) -> bool {
-        !self.held.values().any(|held| held.is_starting(now))
+        !self.allocations.values().any(|held| held.is_starting(now))
     }
 
     /// Whether a task begins here beside which nothing else is to begin.
     pub(crate) fn is_on_trial(&self, now: TimeMs) -> bool {
-        let mut held = self.held.values();
-        held.any(|held| held.crashes.starts_alone() && held.is_starting(now))
+        let mut held = self.allocations.values();
+        held.any(|held| held.crash_history.starts_alone() && held.is_starting(now))
     }
 }
--- a/ragwortwick-area/src/job_state.rs
+++ b/ragwortwick-area/src/job_state.rs
@@ -8,7 +8,7 @@
 use crate::backoff::Backoff;
 use crate::crashes::CrashRecord;
 use crate::job::{JobRecord, StepSpec, TaskId};
-use crate::outcome::{FollowUp, RunOutcome, settle_member, settle_single};
+use crate::outcome::{FollowUp, RunOutcome, apply_gang_outcome, apply_task_outcome};
 use crate::progress::JobPhase;
 use crate::speed::AlikeDurations;
 
@@ -201,9 +201,9 @@
             outcome => outcome,
         };
         let settled = if spec.is_gang {
-            settle_member(step, id.index as usize, outcome, checkpoint, attempts)
+            apply_gang_outcome(step, id.index as usize, outcome, checkpoint, attempts)
         } else {
-            settle_single(step, id.index as usize, outcome, attempts)
+            apply_task_outcome(step, id.index as usize, outcome, attempts)
         };
         if is_over {
             return FollowUp::None;
--- a/ragwortwick-area/src/keeping.rs
+++ b/ragwortwick-area/src/keeping.rs
@@ -157,13 +157,15 @@
         let of_slot = |slot: &Slot| {
             let worker = self.workers.get(&slot.worker);
             let clock_ms = worker.and_then(|worker| worker.clock_at(now));
-            let held = worker.into_iter().flat_map(|worker| worker.held.values());
-            let is_kept = self.kept_workers.contains(&slot.worker);
+            let held = worker
+                .into_iter()
+                .flat_map(|worker| worker.allocations.values());
+            let is_kept = self.reserved_workers.contains(&slot.worker);
             let percent = if is_kept { KEPT_BEFORE_PERCENT } else { 100 };
             let mut outlook: Outlook = held
                 .map(|held| {
                     let rest_ms = held.rest_ms(now, clock_ms).0 * percent / 100;
-                    (DurationMs(rest_ms), held.need)
+                    (DurationMs(rest_ms), held.resources)
                 })
                 .collect();
             outlook.sort_by_key(|(rest_ms, _)| *rest_ms);
@@ -180,7 +182,7 @@
             return DurationMs(0);
         }
         let since = self.started_at.unwrap_or(self.placed_at);
-        let told = self.watch.zip(clock_ms);
+        let told = self.tracker.zip(clock_ms);
         let told = told.and_then(|(watch, clock_ms)| watch.rest_ms(clock_ms));
         told.unwrap_or_else(|| {
             let rest = self.expected_ms.0.saturating_sub(now.since(since).0);
--- a/ragwortwick-area/src/late_completions.rs
+++ b/ragwortwick-area/src/late_completions.rs
@@ -13,7 +13,7 @@
 impl Coordinator {
     /// A run that is no longer held has done its work: its task is done, and what was started for it since
     /// has to stop.
-    pub(crate) fn done_late(&mut self, now: TimeMs, task: &TaskId) {
+    pub(crate) fn complete_late(&mut self, now: TimeMs, task: &TaskId) {
         let Some(job) = self.jobs.get_mut(&task.job_id) else {
             return;
         };
@@ -25,11 +25,11 @@
             return;
         }
         let is_over = job.mark_done(task);
-        self.stop_group(now, task, OverWhy::DoneBefore);
+        self.stop_with_gang(now, task, OverWhy::DoneBefore);
         if is_over {
-            self.job_over(now, &task.job_id);
+            self.end_job(now, &task.job_id);
         }
         self.records.mark(&task.job_id);
-        self.wants_pass = true;
+        self.needs_pass = true;
     }
 }
--- a/ragwortwick-area/src/leaving.rs
+++ b/ragwortwick-area/src/leaving.rs
@@ -26,14 +26,14 @@
             if now < last_call {
                 continue;
             }
-            for (task, held) in &worker.held {
+            for (task, held) in &worker.allocations {
                 if matches!(held.phase, AllocationPhase::Running { .. }) {
                     leaving.push(task.clone());
                 }
             }
         }
         for task in leaving {
-            self.stop_group(now, &task, OverWhy::WorkerLeaves);
+            self.stop_with_gang(now, &task, OverWhy::WorkerLeaves);
         }
     }
 }
--- a/ragwortwick-area/src/losses.rs
+++ b/ragwortwick-area/src/losses.rs
@@ -148,12 +148,12 @@
 
     /// What was or may have been running there when it was last there.
     fn runs_at_loss(&self) -> Vec<RunAtLoss> {
-        let held = self.held.iter();
+        let held = self.allocations.iter();
         let sent = held.filter(|(_, held)| held.phase != AllocationPhase::AwaitingRecord);
         let runs = sent.map(|(task, held)| RunAtLoss {
             task: task.clone(),
             age_ms: self.age_of(held),
-            crashes: held.crashes,
+            crashes: held.crash_history,
         });
         runs.collect()
     }
@@ -161,24 +161,24 @@
     /// How it fell silent, if it is lost now; none if calls to it were answered until now.
     fn silence_at_loss(&self, now: TimeMs) -> Option<Silence> {
         let is_unseen = self
-            .held
+            .allocations
             .values()
             .all(|held| held.phase == AllocationPhase::Recovered);
         let unseen = Silence {
             since: now,
             kind: SilenceKind::Unseen,
         };
-        self.silence.or_else(|| is_unseen.then_some(unseen))
+        self.contact_loss.or_else(|| is_unseen.then_some(unseen))
     }
 
     /// The last moment at which it was there: a closed connection tells when it ended.
     fn last_there(&self) -> TimeMs {
-        match self.silence {
+        match self.contact_loss {
             Some(Silence {
                 since,
                 kind: SilenceKind::Closed,
             }) => since,
-            _ => self.heard_at(),
+            _ => self.last_reply_at(),
         }
     }
 }
@@ -197,10 +197,10 @@
             silence: worker.silence_at_loss(now),
             runs: worker.runs_at_loss(),
         };
-        for (task, run) in self.jobs_on(name) {
-            self.resolve(now, name, &task, run, RunOutcome::Lost(lost.cause));
+        for (task, run) in self.runs_on(name) {
+            self.end_run(now, name, &task, run, RunOutcome::Lost(lost.cause));
         }
-        if self.workers.get(name).is_some_and(Worker::is_forgettable) {
+        if self.workers.get(name).is_some_and(Worker::can_be_removed) {
             self.workers.remove(name);
         }
         if lost.runs.is_empty() {
@@ -257,7 +257,7 @@
                 .map_or(0, |task| task.crash_history.count);
             counts.push((run.task.clone(), count));
             if is_over {
-                self.job_over(now, &run.task.job_id);
+                self.end_job(now, &run.task.job_id);
             }
         }
         counts
@@ -276,7 +276,7 @@
         };
         let others = self.workers.iter().filter(|(other, _)| *other != name);
         let silent = others.filter_map(|(_, worker)| {
-            let silence = worker.silence?;
+            let silence = worker.contact_loss?;
             let runs = worker.runs_at_loss();
             (!runs.is_empty()).then(|| (silence, is_explained(&runs)))
         });
--- a/ragwortwick-area/src/outcome.rs
+++ b/ragwortwick-area/src/outcome.rs
@@ -30,7 +30,7 @@
 }
 
 /// A task on its own: it is done, waits again, or has failed too often.
-pub(crate) fn settle_single(
+pub(crate) fn apply_task_outcome(
     step: &mut StepState,
     index: usize,
     outcome: RunOutcome,
@@ -60,7 +60,7 @@
 }
 
 /// A gang ends as one: one member done is all done, and anything else ends the run for all.
-pub(crate) fn settle_member(
+pub(crate) fn apply_gang_outcome(
     step: &mut StepState,
     index: usize,
     outcome: RunOutcome,
--- a/ragwortwick-area/src/polls.rs
+++ b/ragwortwick-area/src/polls.rs
@@ -6,7 +6,7 @@
 use ragwortwick_core::{DurationMs, TimeMs, WorkerName};
 
 use crate::allocation::{Allocation, AllocationPhase};
-use crate::coordinator::{Coordinator, RENEWAL_AFTER_TENURE_MS};
+use crate::coordinator::{Coordinator, RENEWAL_AFTER_LEASE_LOSS_MS};
 use crate::job::{Resources, TaskId};
 use crate::losses::SilenceKind;
 use crate::messages::{Action, PollFailure, RunningTask};
@@ -36,28 +36,28 @@
 
 impl Coordinator {
     /// Sends the looks that are due.
-    pub(crate) fn send_looks(&mut self, now: TimeMs) {
-        self.next_look_at = None;
-        if now >= self.tenure_until + RENEWAL_AFTER_TENURE_MS {
+    pub(crate) fn send_polls(&mut self, now: TimeMs) {
+        self.next_poll_at = None;
+        if now >= self.lease_valid_until + RENEWAL_AFTER_LEASE_LOSS_MS {
             return;
         }
-        let mut next_look_at: Option<TimeMs> = None;
+        let mut next_poll_at: Option<TimeMs> = None;
         let urgent_wait_ms = DurationMs(self.workers.len() as u64 * URGENT_LOOK_MS_PER_WORKER)
             .clamp(URGENT_LOOK_WAIT_MS, LOOK_WAIT_MS);
         for (name, worker) in &mut self.workers {
-            let PollState::Idle { next_at } = worker.look else {
+            let PollState::Idle { next_at } = worker.poll else {
                 continue;
             };
-            if worker.entry.address.is_empty() || !worker.wants_look() {
+            if worker.entry.address.is_empty() || !worker.needs_poll() {
                 continue;
             }
-            let due_at = worker.look_due_at(next_at);
+            let due_at = worker.poll_due_at(next_at);
             if due_at > now {
-                next_look_at = Some(next_look_at.map_or(due_at, |at| at.min(due_at)));
+                next_poll_at = Some(next_poll_at.map_or(due_at, |at| at.min(due_at)));
                 continue;
             }
-            let is_unsure = worker.is_silent()
-                || worker.held.values().any(|held| {
+            let is_unsure = worker.is_unresponsive()
+                || worker.allocations.values().any(|held| {
                     matches!(
                         held.phase,
                         AllocationPhase::Recovered
@@ -67,40 +67,40 @@
                             }
                     )
                 });
-            let has_runs = !worker.held.is_empty();
+            let has_runs = !worker.allocations.is_empty();
             let wait_ms = if is_unsure || !has_runs {
                 DurationMs(0)
             } else if worker.is_shared() {
                 SHARED_LOOK_WAIT_MS
-            } else if worker.held.values().any(|held| held.priority == 0) {
+            } else if worker.allocations.values().any(|held| held.priority == 0) {
                 urgent_wait_ms
             } else {
                 LOOK_WAIT_MS
             };
             // A lease sent to a silent worker may arrive although no answer does. It would put off,
             // again and again, the moment from which its runs can be given up.
-            let lease_until_ms = if worker.is_silent() || !has_runs {
+            let lease_until_ms = if worker.is_unresponsive() || !has_runs {
                 None
             } else {
                 worker.lease_until(now, &self.limits)
             };
             if lease_until_ms.is_some() {
-                worker.note_lease_sent(now, &self.limits);
+                worker.record_lease_sent(now, &self.limits);
             }
-            worker.look = PollState::InFlight;
-            worker.told = worker.told.max(worker.stored);
+            worker.poll = PollState::InFlight;
+            worker.acked_end = worker.acked_end.max(worker.stored_end);
             self.actions.push(Action::Poll {
                 worker: name.clone(),
                 address: Arc::clone(&worker.entry.address),
                 lease_until_ms,
-                acked_end: worker.stored,
+                acked_end: worker.stored_end,
                 wait_ms,
             });
         }
-        self.next_look_at = next_look_at;
+        self.next_poll_at = next_poll_at;
     }
 
-    pub(crate) fn look_failed(
+    pub(crate) fn on_poll_failed(
         &mut self,
         now: TimeMs,
         worker_name: &WorkerName,
@@ -112,27 +112,27 @@
                 return;
             }
             PollFailure::WrongLife => {
-                self.life_over(now, worker_name);
+                self.on_incarnation_ended(now, worker_name);
                 return;
             }
             PollFailure::Closed => SilenceKind::Closed,
             PollFailure::NoAnswer => SilenceKind::Unanswered,
         };
         if let Some(worker) = self.workers.get_mut(worker_name) {
-            worker.fall_silent(now, kind);
-            let pause_ms = if worker.held.is_empty() {
+            worker.mark_unresponsive(now, kind);
+            let pause_ms = if worker.allocations.is_empty() {
                 SILENT_IDLE_LOOK_MS
             } else {
                 SILENT_LOOK_MS
             };
-            worker.look = PollState::Idle {
+            worker.poll = PollState::Idle {
                 next_at: now + pause_ms,
             };
         }
     }
 
     /// Compares what runs on a worker with what is held there.
-    pub(crate) fn see_running(
+    pub(crate) fn reconcile_running(
         &mut self,
         now: TimeMs,
         worker_name: &WorkerName,
@@ -145,7 +145,7 @@
         let Some(worker) = self.workers.get_mut(worker_name) else {
             return;
         };
-        for (task, held) in &mut worker.held {
+        for (task, held) in &mut worker.allocations {
             if present.contains(&(task, held.run)) {
                 continue;
             }
@@ -164,7 +164,7 @@
         }
         let mut orphans = Vec::new();
         for row in running {
-            match worker.held.get_mut(&row.task) {
+            match worker.allocations.get_mut(&row.task) {
                 Some(held) if held.run == row.run => {
                     if confirm(now, held, row)
                         && let Some(job) = self.jobs.get_mut(&row.task.job_id)
@@ -176,12 +176,12 @@
             }
         }
         let address = Arc::clone(&worker.entry.address);
-        worker.strays = Resources::default();
+        worker.untracked = Resources::default();
         for row in orphans {
             // Nobody waits for its end; it only takes room, until it is gone.
             let job = self.jobs.get(&row.task.job_id);
             if let Some(spec) = job.and_then(|job| job.spec(row.task.step)) {
-                worker.strays = worker.strays.plus(spec.demand());
+                worker.untracked = worker.untracked.plus(spec.demand());
             }
             self.actions.push(Action::Stop {
                 worker: worker_name.clone(),
@@ -191,7 +191,7 @@
             });
         }
         for (task, run) in vanished {
-            self.resolve(now, worker_name, &task, run, RunOutcome::NoVerdict);
+            self.end_run(now, worker_name, &task, run, RunOutcome::NoVerdict);
         }
     }
 }
--- a/ragwortwick-area/src/preempt.rs
+++ b/ragwortwick-area/src/preempt.rs
@@ -109,10 +109,10 @@
             if !candidate.is_guaranteed && plan.waste * worth_of_core_second > gain {
                 continue;
             }
-            self.cleared_for.entry(candidate.step_id()).or_insert(now);
+            self.preempted_for.entry(candidate.step_id()).or_insert(now);
             for victim in &plan.stopped {
                 // It would go first in the next pass, into the very room that it gave up.
-                self.cleared_for.remove(&victim.group.step);
+                self.preempted_for.remove(&victim.group.step);
                 self.stop_victim(now, victim, &candidate.job_id);
                 for &(index, need) in &victim.frees {
                     future[index].give_back(need);
@@ -181,8 +181,12 @@
             let Some(worker) = self.workers.get(&slot.worker) else {
                 continue;
             };
-            for held in worker.held.values().filter(|held| held.is_stopping()) {
-                slot.give_back(held.need);
+            for held in worker
+                .allocations
+                .values()
+                .filter(|held| held.is_stopping())
+            {
+                slot.give_back(held.resources);
             }
         }
         future
@@ -197,7 +201,7 @@
     ) -> Vec<(TimeMs, Victim)> {
         let mut groups: BTreeMap<Group, (TimeMs, Victim)> = BTreeMap::new();
         for (name, worker) in &self.workers {
-            for (task, held) in &worker.held {
+            for (task, held) in &worker.allocations {
                 if held.is_stopping() || !matches(held) {
                     continue;
                 }
@@ -238,9 +242,9 @@
                 victim.on.insert(name.clone());
                 // Room on a worker that takes no work helps nobody.
                 if let Some(&index) = slot_of.get(name) {
-                    victim.frees.push((index, held.need));
+                    victim.frees.push((index, held.resources));
                 }
-                victim.accelerators += held.need.accelerators;
+                victim.accelerators += held.resources.accelerators;
             }
         }
         groups.into_values().collect()
@@ -252,7 +256,7 @@
             job.accounting.displaced_by = Some(taker.clone());
         }
         for worker in &victim.on {
-            self.stop_on(now, worker, OverWhy::Displaced, |task| group.holds(task));
+            self.stop_matching_on(now, worker, OverWhy::Displaced, |task| group.holds(task));
         }
     }
 }
--- a/ragwortwick-area/src/records.rs
+++ b/ragwortwick-area/src/records.rs
@@ -154,7 +154,7 @@
     /// A record is stored before the start that it announces and before its worker may forget an
     /// end, so that a successor knows of every run there can be and misses no end.
     pub(crate) fn flush(&mut self, now: TimeMs) {
-        if !self.may_order(now) {
+        if !self.can_start_work(now) {
             return;
         }
         while let Some(jobs) = self.next_batch(now) {
@@ -229,7 +229,7 @@
         };
         self.tell_stored_notes();
         for intent in in_flight.intents {
-            self.start(now, &intent.worker, &intent.task, intent.run);
+            self.send_recorded_start(now, &intent.worker, &intent.task, intent.run);
         }
     }
 
@@ -238,7 +238,7 @@
         for notes in self.records.take_stored_notes() {
             for (name, number) in notes {
                 if let Some(worker) = self.workers.get_mut(&name) {
-                    worker.stored = worker.stored.max(number);
+                    worker.stored_end = worker.stored_end.max(number);
                 }
             }
         }
--- a/ragwortwick-area/src/room.rs
+++ b/ragwortwick-area/src/room.rs
@@ -58,16 +58,16 @@
             let free = worker.free();
             room.capacity += worker.entry.capacity.accelerators;
             room.used += worker.entry.capacity.accelerators - free.accelerators;
-            if worker.takes_work(now) {
+            if worker.is_schedulable(now) {
                 room.slots.push(Slot {
                     worker: name.clone(),
                     rack: worker.entry.rack.clone(),
                     rack_number: 0,
                     labels: Arc::clone(&worker.entry.labels),
                     free,
-                    excess: worker.excess(),
+                    excess: worker.overcommitted(),
                     capacity_accelerators: worker.entry.capacity.accelerators,
-                    doubt: worker.failures_in_row,
+                    doubt: worker.consecutive_failures,
                     speed: worker.speed.speed(),
                     is_headroom: false,
                     is_quiet: worker.is_quiet(now),
--- a/ragwortwick-area/src/run_ends.rs
+++ b/ragwortwick-area/src/run_ends.rs
@@ -45,7 +45,7 @@
 
 impl Coordinator {
     /// A run is over for good: its room is free, and its job goes on from there.
-    pub(crate) fn resolve(
+    pub(crate) fn end_run(
         &mut self,
         now: TimeMs,
         worker_name: &WorkerName,
@@ -56,7 +56,11 @@
         let Some(worker) = self.workers.get_mut(worker_name) else {
             return;
         };
-        if worker.held.get(task).is_none_or(|held| held.run != run) {
+        if worker
+            .allocations
+            .get(task)
+            .is_none_or(|held| held.run != run)
+        {
             return;
         }
         let Some(held) = worker.release(task) else {
@@ -73,9 +77,9 @@
         };
         let vain_ms = match why {
             OverWhy::Done => DurationMs(0),
-            _ => held.vain_ms(now, self.limits.restore_ms),
+            _ => held.wasted_ms(now, self.limits.restore_ms),
         };
-        let lost_core_ms = held.need.core_equivalents().max(1) * vain_ms.0;
+        let lost_core_ms = held.resources.core_equivalents().max(1) * vain_ms.0;
         self.actions.push(Action::LogRunEnd(RunEnded {
             worker: worker_name.clone(),
             task: task.clone(),
@@ -85,10 +89,10 @@
             lost_core_ms,
         }));
         match outcome {
-            RunOutcome::Done => worker.failures_in_row = 0,
+            RunOutcome::Done => worker.consecutive_failures = 0,
             RunOutcome::Failed => {
-                worker.failures_in_row += 1;
-                if worker.failures_in_row >= SUSPECT_FAILURES {
+                worker.consecutive_failures += 1;
+                if worker.consecutive_failures >= SUSPECT_FAILURES {
                     worker.avoid_until = now + SUSPECT_MS;
                 }
             }
@@ -97,7 +101,7 @@
         if outcome == RunOutcome::Done {
             self.compare_duration_at_end(now, worker_name, task, &held);
         }
-        let attempts = self.attempts_of(&task.job_id);
+        let attempts = self.max_attempts(&task.job_id);
         let Some(job) = self.jobs.get_mut(&task.job_id) else {
             return;
         };
@@ -110,11 +114,11 @@
             job.accounting.idle(now);
         }
         self.records.mark(&task.job_id);
-        self.wants_pass = true;
+        self.needs_pass = true;
         match settled {
             FollowUp::None => {}
-            FollowUp::StopGang => self.stop_group(now, task, OverWhy::GangEnded),
-            FollowUp::EndJob => self.job_over(now, &task.job_id.clone()),
+            FollowUp::StopGang => self.stop_with_gang(now, task, OverWhy::GangEnded),
+            FollowUp::EndJob => self.end_job(now, &task.job_id.clone()),
         }
     }
 
@@ -123,12 +127,12 @@
         let Some(worker) = self.workers.get_mut(worker_name) else {
             return;
         };
-        let held = worker.held.get_mut(&end.task);
+        let held = worker.allocations.get_mut(&end.task);
         let Some(held) = held
             .filter(|held| held.run == end.run && held.phase != AllocationPhase::AwaitingRecord)
         else {
             if end.kind == EndKind::Done {
-                self.done_late(now, &end.task);
+                self.complete_late(now, &end.task);
             }
             return;
         };
@@ -143,26 +147,26 @@
             | EndKind::GangBroken
             | EndKind::GangIncomplete => RunOutcome::NoVerdict,
         };
-        self.resolve(now, worker_name, &end.task, end.run, outcome);
+        self.end_run(now, worker_name, &end.task, end.run, outcome);
     }
 
     /// Takes in an end that an earlier coordinator heard: final, whatever became of its worker.
-    pub(crate) fn end_left(&mut self, now: TimeMs, task: &TaskId, run: u32) {
+    pub(crate) fn on_completion_handed_over(&mut self, now: TimeMs, task: &TaskId, run: u32) {
         let job = self.jobs.get(&task.job_id);
         let state = job.and_then(|job| job.task(task));
         let Some(TaskState::Placed(worker)) = state.map(|state| &state.state) else {
             return;
         };
         let worker = worker.clone();
-        self.resolve(now, &worker, task, run, RunOutcome::Done);
+        self.end_run(now, &worker, task, run, RunOutcome::Done);
     }
 
     /// A worker's address answers as another life: nothing of the earlier one runs any more.
-    pub(crate) fn life_over(&mut self, now: TimeMs, worker_name: &WorkerName) {
+    pub(crate) fn on_incarnation_ended(&mut self, now: TimeMs, worker_name: &WorkerName) {
         if let Some(worker) = self.workers.get_mut(worker_name) {
             worker.is_listed = false;
-            worker.stored = worker.told;
-            worker.taken_in = worker.told;
+            worker.stored_end = worker.acked_end;
+            worker.received_end = worker.acked_end;
         }
         self.worker_lost(now, worker_name, WorkerLoss::Crashed);
     }
@@ -171,16 +175,18 @@
     ///
     /// Every order carries the end of the lease on the worker's clock, and a silent worker gets no
     /// further lease, so past the bound everything there was killed, also what arrives late.
-    pub(crate) fn expire(&mut self, now: TimeMs) {
+    pub(crate) fn expire_leases(&mut self, now: TimeMs) {
         let expired: Vec<WorkerName> = self
             .workers
             .iter()
             .filter(|(_, worker)| {
-                let is_silent = worker.is_silent() || worker.entry.address.is_empty();
+                let is_unresponsive = worker.is_unresponsive() || worker.entry.address.is_empty();
                 // The two times run side by side: a new coordinator's bound on leases is long, and callers
                 // would wait for a worker that has left for as long again.
-                let given_up_at = worker.lease_bound.max(worker.leased_at + HEARD_WITHIN_MS);
-                is_silent && !worker.held.is_empty() && now >= given_up_at
+                let given_up_at = worker
+                    .lease_expires_by
+                    .max(worker.lease_sent_at + HEARD_WITHIN_MS);
+                is_unresponsive && !worker.allocations.is_empty() && now >= given_up_at
             })
             .map(|(name, _)| name.clone())
             .collect();
@@ -190,7 +196,7 @@
     }
 
     /// Takes in a look: what runs, what ended, and what is no longer there.
-    pub(crate) fn looked(
+    pub(crate) fn on_poll_reply(
         &mut self,
         now: TimeMs,
         worker_name: &WorkerName,
@@ -201,34 +207,34 @@
         let Some(worker) = self.workers.get_mut(worker_name) else {
             return;
         };
-        worker.hear_clock(now, look.clock_ms);
-        worker.silence = None;
+        worker.record_clock(now, look.clock_ms);
+        worker.contact_loss = None;
         let pause_ms = if look.ended.is_empty() {
             AFTER_LOOK_MS
         } else {
             after_ends_ms
         };
-        worker.look = PollState::Idle {
+        worker.poll = PollState::Idle {
             next_at: now + pause_ms,
         };
-        let mut highest = worker.taken_in;
+        let mut highest = worker.received_end;
         let new_ends: Vec<_> = look
             .ended
             .iter()
-            .filter(|end| end.number > worker.taken_in)
+            .filter(|end| end.number > worker.received_end)
             .collect();
         let has_ends = !new_ends.is_empty();
         for end in &new_ends {
             highest = highest.max(end.number);
         }
-        worker.taken_in = highest;
+        worker.received_end = highest;
         if has_ends {
             self.records.note(worker_name, highest);
         }
         for end in new_ends {
             self.end_listed(now, worker_name, end);
         }
-        self.see_running(now, worker_name, sent_at, &look.running);
+        self.reconcile_running(now, worker_name, sent_at, &look.running);
         self.hear_progress(now, worker_name, look);
         self.share(now, worker_name);
     }
--- a/ragwortwick-area/src/schedule.rs
+++ b/ragwortwick-area/src/schedule.rs
@@ -19,17 +19,17 @@
 impl Coordinator {
     /// Places what can be placed, the most pressing work first.
     pub(crate) fn pass(&mut self, now: Now) {
-        if !self.may_order(now.steady) || !self.knows_workers(now.steady) {
+        if !self.can_start_work(now.steady) || !self.has_fresh_workers(now.steady) {
             // A set time that has come stays in the past until a pass: asking to be woken at it would
             // keep the thread busy without end. What is missing comes as an event, and that asks for
             // the next pass.
-            self.next_due_at = None;
+            self.next_scheduled_at = None;
             return;
         }
         let urgent_use = self.urgent_use();
         let mut candidates = self.candidates(now, &urgent_use);
         order(&mut candidates);
-        let mut kept_workers = BTreeSet::new();
+        let mut reserved_workers = BTreeSet::new();
         let pools: BTreeSet<PoolName> = candidates.iter().map(|c| c.pool.clone()).collect();
         for pool in pools {
             let mut room = self.room(now.steady, &pool);
@@ -39,9 +39,9 @@
             let (urgent, others): (Vec<_>, Vec<_>) =
                 of_pool.into_iter().partition(|c| c.may_displace());
             self.place_urgent(now.steady, &urgent, &mut room);
-            kept_workers.extend(self.place_others(now.steady, &others, &mut room));
+            reserved_workers.extend(self.place_others(now.steady, &others, &mut room));
         }
-        self.kept_workers = kept_workers;
+        self.reserved_workers = reserved_workers;
         self.ask_advice(now.steady);
     }
 
@@ -249,7 +249,7 @@
         {
             room.close(slot);
         }
-        self.place(now, &worker, &task, run, candidate.priority);
+        self.place_run(now, &worker, &task, run, candidate.priority);
     }
 }
 
--- a/ragwortwick-area/src/sharing.rs
+++ b/ragwortwick-area/src/sharing.rs
@@ -67,71 +67,81 @@
 impl Worker {
     /// The highest tail latency of what serves here, in per cent of its target; none if nothing does.
     fn tightest_percent(&self) -> Option<u32> {
-        let serving = self.held.values().filter_map(|held| match held.role {
-            Role::Serves { target_ms } if matches!(held.phase, AllocationPhase::Running { .. }) => {
-                let percent = u64::from(held.load) * 100 / target_ms;
-                Some(u32::try_from(percent).unwrap_or(u32::MAX))
-            }
-            _ => None,
-        });
+        let serving = self
+            .allocations
+            .values()
+            .filter_map(|held| match held.role {
+                Role::Serves { target_ms }
+                    if matches!(held.phase, AllocationPhase::Running { .. }) =>
+                {
+                    let percent = u64::from(held.load) * 100 / target_ms;
+                    Some(u32::try_from(percent).unwrap_or(u32::MAX))
+                }
+                _ => None,
+            });
         serving.max()
     }
 
     fn has_fillers(&self) -> bool {
-        self.held.values().any(|held| held.role == Role::Fills)
+        self.allocations
+            .values()
+            .any(|held| held.role == Role::Fills)
     }
 
     /// Whether tasks that serve and fillers are here together, so that looks must be frequent.
     pub(crate) fn is_shared(&self) -> bool {
         let serves = |role| matches!(role, Role::Serves { .. });
-        self.has_fillers() && self.held.values().any(|held| serves(held.role))
+        self.has_fillers() && self.allocations.values().any(|held| serves(held.role))
     }
 
     fn adjust_fillers(&mut self, now: TimeMs) {
         let Some(tight) = self.tightest_percent() else {
-            self.filler_percent = 100;
-            self.paced_at = None;
+            self.filler_pace_percent = 100;
+            self.pace_changed_at = None;
             return;
         };
-        let Some(paced_at) = self.paced_at else {
-            self.filler_percent = FIRST_PERCENT;
-            self.paced_at = Some(now);
+        let Some(pace_changed_at) = self.pace_changed_at else {
+            self.filler_pace_percent = FIRST_PERCENT;
+            self.pace_changed_at = Some(now);
             return;
         };
-        let since_ms = now.since(paced_at);
+        let since_ms = now.since(pace_changed_at);
         let wanted = match tight {
-            OVER_PERCENT.. if since_ms >= LOWER_PAUSE_MS => self.filler_percent / 4,
+            OVER_PERCENT.. if since_ms >= LOWER_PAUSE_MS => self.filler_pace_percent / 4,
             NEAR_PERCENT..OVER_PERCENT if since_ms >= LOWER_PAUSE_MS => {
-                self.filler_percent * 7 / 10
+                self.filler_pace_percent * 7 / 10
             }
             ..CALM_PERCENT if since_ms >= RAISE_PAUSE_MS => {
-                (self.filler_percent + RAISE_PERCENT).min(100)
+                (self.filler_pace_percent + RAISE_PERCENT).min(100)
             }
             _ => return,
         };
-        self.filler_percent = if wanted < LEAST_PERCENT { 0 } else { wanted };
-        self.paced_at = Some(now);
+        self.filler_pace_percent = if wanted < LEAST_PERCENT { 0 } else { wanted };
+        self.pace_changed_at = Some(now);
     }
 }
 
 impl Coordinator {
     /// Sets the pace of a worker's fillers by what it has just told.
     pub(crate) fn share(&mut self, now: TimeMs, worker_name: &WorkerName) {
-        let may_order = self.may_order(now);
+        let can_start_work = self.can_start_work(now);
         let Some(worker) = self.workers.get_mut(worker_name) else {
             return;
         };
-        if !worker.has_fillers() || !may_order {
+        if !worker.has_fillers() || !can_start_work {
             return;
         }
         worker.adjust_fillers(now);
-        let percent = worker.filler_percent;
-        for (task, held) in &mut worker.held {
+        let percent = worker.filler_pace_percent;
+        for (task, held) in &mut worker.allocations {
             let is_running = matches!(held.phase, AllocationPhase::Running { .. });
-            if held.role != Role::Fills || !is_running || held.pace_told == Some(percent) {
+            if held.role != Role::Fills
+                || !is_running
+                || held.confirmed_pace_percent == Some(percent)
+            {
                 continue;
             }
-            held.pace_told = Some(percent);
+            held.confirmed_pace_percent = Some(percent);
             self.actions.push(Action::SetPace {
                 worker: worker_name.clone(),
                 address: Arc::clone(&worker.entry.address),
@@ -145,9 +155,9 @@
     /// A pace may not have arrived; the next look tells it again.
     pub(crate) fn pace_failed(&mut self, worker_name: &WorkerName, task: &crate::TaskId, run: u32) {
         let worker = self.workers.get_mut(worker_name);
-        let held = worker.and_then(|worker| worker.held.get_mut(task));
+        let held = worker.and_then(|worker| worker.allocations.get_mut(task));
         if let Some(held) = held.filter(|held| held.run == run) {
-            held.pace_told = None;
+            held.confirmed_pace_percent = None;
         }
     }
 }
--- a/ragwortwick-area/src/speed.rs
+++ b/ragwortwick-area/src/speed.rs
@@ -112,9 +112,11 @@
         let Some(worker) = self.workers.get_mut(worker_name) else {
             return;
         };
-        let held = worker.held.iter_mut();
+        let held = worker.allocations.iter_mut();
         let durations: Vec<(TaskId, DurationMs)> = held
-            .filter_map(|(task, held)| Some((task.clone(), held.watch.as_mut()?.take_duration()?)))
+            .filter_map(|(task, held)| {
+                Some((task.clone(), held.tracker.as_mut()?.take_duration()?))
+            })
             .collect();
         for (task, duration_ms) in durations {
             self.hear_duration(worker_name, &task, duration_ms);
@@ -133,7 +135,7 @@
         let job = self.jobs.get(&task.job_id);
         let spec = job.and_then(|job| job.spec(task.step));
         let is_gang = spec.is_none_or(|spec| spec.is_gang);
-        let is_compared = held.watch.is_some_and(|watch| watch.is_compared);
+        let is_compared = held.tracker.is_some_and(|watch| watch.is_compared);
         let is_whole = !held.is_resumed && !is_compared && !is_gang;
         if let Some(started_at) = held.started_at.filter(|_| is_whole) {
             self.hear_duration(worker_name, task, now.since(started_at));
--- a/ragwortwick-area/src/stalls.rs
+++ b/ragwortwick-area/src/stalls.rs
@@ -34,8 +34,8 @@
 impl Allocation {
     /// Takes in what the worker tells of the run's progress.
     fn hear_progress(&mut self, clock_ms: u64, percent: u32) -> Movement {
-        let Some(watch) = &mut self.watch else {
-            self.watch = Some(Watch::begin(clock_ms, percent));
+        let Some(watch) = &mut self.tracker else {
+            self.tracker = Some(Watch::begin(clock_ms, percent));
             return Movement::Unknown;
         };
         watch.hear(clock_ms, percent, self.expected_ms)
@@ -43,12 +43,12 @@
 
     /// How long it has stood still when it was last heard of.
     fn still_ms(&self) -> DurationMs {
-        self.watch.map_or(DurationMs(0), |watch| watch.still_ms())
+        self.tracker.map_or(DurationMs(0), |watch| watch.still_ms())
     }
 
     /// Time that the work took which its stop throws away.
     fn lost_by_move(&self, restore_ms: DurationMs) -> DurationMs {
-        match self.watch {
+        match self.tracker {
             _ if self.saves_checkpoints => restore_ms,
             Some(watch) => watch.done_ms(self.expected_ms),
             None => DurationMs(0),
@@ -62,11 +62,11 @@
         let mut is_moving = false;
         let mut stalled = Vec::new();
         for row in &look.running {
-            let Some(held) = self.held.get_mut(&row.task) else {
+            let Some(held) = self.allocations.get_mut(&row.task) else {
                 continue;
             };
             let is_running = matches!(held.phase, AllocationPhase::Running { .. });
-            if held.run != row.run || !is_running || !held.is_watched {
+            if held.run != row.run || !is_running || !held.is_tracked {
                 continue;
             }
             match held.hear_progress(look.clock_ms, row.percent) {
@@ -95,13 +95,13 @@
         worker_name: &WorkerName,
         look: &WorkerReport,
     ) {
-        let may_order = self.may_order(now);
+        let can_start_work = self.can_start_work(now);
         let Some(worker) = self.workers.get_mut(worker_name) else {
             return;
         };
         let stalled = worker.hear_progress(now, look);
         self.compare_durations(worker_name);
-        if may_order {
+        if can_start_work {
             for (task, still_ms) in stalled {
                 self.move_stalled(now, &task, still_ms);
             }
@@ -118,7 +118,7 @@
         };
         if still_ms.0 >= lost_ms.0 + AGAIN_MS.0 && job.stall_restarts < MOST_MOVES {
             job.stall_restarts += 1;
-            self.stop_group(now, task, OverWhy::Stalled);
+            self.stop_with_gang(now, task, OverWhy::Stalled);
         }
     }
 
@@ -140,7 +140,7 @@
                 index,
                 ..task.clone()
             };
-            let held = self.workers.get(worker)?.held.get(&id)?;
+            let held = self.workers.get(worker)?.allocations.get(&id)?;
             let is_running = matches!(held.phase, AllocationPhase::Running { .. });
             is_running.then(|| held.lost_by_move(self.limits.restore_ms))
         });
--- a/ragwortwick-area/src/starts.rs
+++ b/ragwortwick-area/src/starts.rs
@@ -18,23 +18,30 @@
 
 impl Coordinator {
     /// Sends the start of a run whose record is stored, unless it has become pointless.
-    pub(crate) fn start(&mut self, now: TimeMs, worker_name: &WorkerName, task: &TaskId, run: u32) {
-        let may_order = self.may_order(now);
+    pub(crate) fn send_recorded_start(
+        &mut self,
+        now: TimeMs,
+        worker_name: &WorkerName,
+        task: &TaskId,
+        run: u32,
+    ) {
+        let can_start_work = self.can_start_work(now);
         let has_ticket = self.ticket_for(now, worker_name, task).is_ok();
         let Some(worker) = self.workers.get_mut(worker_name) else {
             return;
         };
-        let has_room = worker.excess().is_zero();
-        let takes_work = worker.is_listed && !worker.entry.is_draining && has_ticket && has_room;
-        let Some(held) = worker.held.get_mut(task) else {
+        let has_room = worker.overcommitted().is_zero();
+        let is_schedulable =
+            worker.is_listed && !worker.entry.is_draining && has_ticket && has_room;
+        let Some(held) = worker.allocations.get_mut(task) else {
             return;
         };
         if held.run != run || held.phase != AllocationPhase::AwaitingRecord {
             return;
         }
-        if !takes_work || !may_order {
+        if !is_schedulable || !can_start_work {
             // Nothing was sent, so the run certainly never begins.
-            self.resolve(now, worker_name, task, run, RunOutcome::NoVerdict);
+            self.end_run(now, worker_name, task, run, RunOutcome::NoVerdict);
             return;
         }
         held.phase = AllocationPhase::StartSent {
@@ -62,12 +69,12 @@
         let Some(lease_until_ms) = worker.lease_until(now, &self.limits) else {
             return;
         };
-        worker.note_lease_sent(now, &self.limits);
+        worker.record_lease_sent(now, &self.limits);
         let address = Arc::clone(&worker.entry.address);
-        let Some(held) = worker.held.get_mut(task) else {
+        let Some(held) = worker.allocations.get_mut(task) else {
             return;
         };
-        held.tries += 1;
+        held.start_attempts += 1;
         held.phase = AllocationPhase::StartSent {
             sent_at: now,
             in_flight: true,
@@ -86,16 +93,16 @@
 
     /// Sends again what got no answer, and the stops that are due.
     pub(crate) fn send_orders(&mut self, now: TimeMs) {
-        let may_order = self.may_order(now);
+        let can_start_work = self.can_start_work(now);
         let mut starts = Vec::new();
         let mut stops = Vec::new();
         for (name, worker) in &self.workers {
-            for (task, held) in &worker.held {
+            for (task, held) in &worker.allocations {
                 match held.phase {
                     AllocationPhase::StartSent {
                         sent_at,
                         in_flight: false,
-                    } if now.since(sent_at) >= RESEND_MS && may_order => {
+                    } if now.since(sent_at) >= RESEND_MS && can_start_work => {
                         starts.push((name.clone(), task.clone()));
                     }
                     AllocationPhase::Stopping {
@@ -128,34 +135,34 @@
     fn resend_start(&mut self, now: TimeMs, worker: &WorkerName, task: &TaskId) {
         let must_not_begin = self.workers.get(worker).is_some_and(|worker| {
             let is_leaving = worker.entry.is_draining || !worker.is_listed;
-            is_leaving || !worker.excess().is_zero()
+            is_leaving || !worker.overcommitted().is_zero()
         });
         if must_not_begin || self.ticket_for(now, worker, task).is_err() {
-            self.stop_group(now, task, OverWhy::StartInDoubt);
+            self.stop_with_gang(now, task, OverWhy::StartInDoubt);
         } else {
             self.send_start(now, worker, task);
         }
     }
 
     /// Hears what the answer to an order tells of its worker; none if the worker's life is over.
-    pub(crate) fn hear_reply(
+    pub(crate) fn record_reply(
         &mut self,
         now: TimeMs,
         worker_name: &WorkerName,
         reply: OrderReply,
     ) -> Option<&mut Worker> {
         if reply == OrderReply::WrongLife {
-            self.life_over(now, worker_name);
+            self.on_incarnation_ended(now, worker_name);
             return None;
         }
         let worker = self.workers.get_mut(worker_name)?;
         if let OrderReply::Accepted { clock_ms } = reply {
-            worker.hear_clock(now, clock_ms);
+            worker.record_clock(now, clock_ms);
         }
         Some(worker)
     }
 
-    pub(crate) fn start_replied(
+    pub(crate) fn on_start_replied(
         &mut self,
         now: TimeMs,
         worker_name: &WorkerName,
@@ -163,13 +170,13 @@
         run: u32,
         reply: OrderReply,
     ) {
-        let Some(worker) = self.hear_reply(now, worker_name, reply) else {
+        let Some(worker) = self.record_reply(now, worker_name, reply) else {
             return;
         };
         if matches!(reply, OrderReply::Accepted { .. }) {
-            worker.silence = None;
+            worker.contact_loss = None;
         }
-        let Some(held) = worker.held.get_mut(task) else {
+        let Some(held) = worker.allocations.get_mut(task) else {
             return;
         };
         let AllocationPhase::StartSent { sent_at, .. } = held.phase else {
@@ -181,11 +188,11 @@
         match reply {
             OrderReply::Accepted { clock_ms } => {
                 if !held.is_resumed {
-                    held.watch = Some(Watch::begin(clock_ms, 0));
+                    held.tracker = Some(Watch::begin(clock_ms, 0));
                 }
                 held.phase = AllocationPhase::Running { since: now };
                 held.started_at = Some(now);
-                worker.look_by(now);
+                worker.poll_by(now);
                 if let Some(job) = self.jobs.get_mut(&task.job_id) {
                     job.accounting.confirmed(now);
                     job.backoff.accepted();
@@ -204,7 +211,7 @@
                 held.phase = AllocationPhase::Running { since: now };
             }
             OrderReply::Refused(cause) => {
-                let is_first_try = held.tries <= 1;
+                let is_first_try = held.start_attempts <= 1;
                 if cause == RefusalCause::NoRoom || cause == RefusalCause::Unhealthy {
                     worker.avoid_until = now + AVOID_AFTER_REFUSAL_MS;
                 }
@@ -217,10 +224,10 @@
                     self.advice.drop_ticket(worker_name, task);
                 }
                 if is_first_try {
-                    self.resolve(now, worker_name, task, run, RunOutcome::NoVerdict);
+                    self.end_run(now, worker_name, task, run, RunOutcome::NoVerdict);
                 } else {
                     // An earlier try may still be carried out late; a stop rules that out.
-                    self.stop_group(now, task, OverWhy::StartInDoubt);
+                    self.stop_with_gang(now, task, OverWhy::StartInDoubt);
                 }
             }
             OrderReply::WrongLife => {}
@@ -228,7 +235,7 @@
     }
 
     /// Puts a run on a worker; its start is sent once the record of it is stored.
-    pub(crate) fn place(
+    pub(crate) fn place_run(
         &mut self,
         now: TimeMs,
         worker_name: &WorkerName,
@@ -245,23 +252,23 @@
         let state = job.task(task);
         let held = Allocation {
             is_resumed: state.is_some_and(|state| !state.checkpoint.is_empty()),
-            crashes: state.map(|state| state.crash_history).unwrap_or_default(),
-            ..Allocation::intended(now, spec, run, priority)
+            crash_history: state.map(|state| state.crash_history).unwrap_or_default(),
+            ..Allocation::awaiting_record(now, spec, run, priority)
         };
         job.mark_placed(task, worker_name, run);
         job.accounting.placed(now);
         self.records.intend(worker_name, task, run);
         if let Some(worker) = self.workers.get_mut(worker_name) {
-            worker.hold(task.clone(), held);
+            worker.allocate(task.clone(), held);
         }
     }
 
-    pub(crate) fn jobs_on(&self, worker_name: &WorkerName) -> Vec<(TaskId, u32)> {
+    pub(crate) fn runs_on(&self, worker_name: &WorkerName) -> Vec<(TaskId, u32)> {
         self.workers
             .get(worker_name)
             .map(|worker| {
                 worker
-                    .held
+                    .allocations
                     .iter()
                     .map(|(task, held)| (task.clone(), held.run))
                     .collect()
@@ -269,10 +276,10 @@
             .unwrap_or_default()
     }
 
-    pub(crate) fn attempts_of(&self, job_id: &JobId) -> u32 {
+    pub(crate) fn max_attempts(&self, job_id: &JobId) -> u32 {
         self.jobs
             .get(job_id)
-            .map_or(1, |job| self.terms_of(job).attempts.max(1))
+            .map_or(1, |job| self.queue_policy(job).attempts.max(1))
     }
 }
 
--- a/ragwortwick-area/src/stops.rs
+++ b/ragwortwick-area/src/stops.rs
@@ -20,7 +20,7 @@
             return;
         };
         let address = Arc::clone(&worker.entry.address);
-        let Some(held) = worker.held.get_mut(task) else {
+        let Some(held) = worker.allocations.get_mut(task) else {
             return;
         };
         let AllocationPhase::Stopping {
@@ -43,7 +43,7 @@
         });
     }
 
-    pub(crate) fn stop_replied(
+    pub(crate) fn on_stop_replied(
         &mut self,
         now: TimeMs,
         worker_name: &WorkerName,
@@ -55,10 +55,10 @@
             self.actions.push(Action::Resign);
             return;
         }
-        let Some(worker) = self.hear_reply(now, worker_name, reply) else {
+        let Some(worker) = self.record_reply(now, worker_name, reply) else {
             return;
         };
-        let Some(held) = worker.held.get_mut(task) else {
+        let Some(held) = worker.allocations.get_mut(task) else {
             return;
         };
         if held.run != run {
@@ -76,11 +76,11 @@
         let is_settled = !matches!(reply, OrderReply::Unknown);
         *in_flight = false;
         *confirmed_at = is_settled.then_some(now);
-        worker.look_by(now + STOP_LISTED_MS);
+        worker.poll_by(now + STOP_LISTED_MS);
     }
 
     /// Tells all runs that match to stop, on every worker.
-    pub(crate) fn stop_where(
+    pub(crate) fn stop_matching(
         &mut self,
         now: TimeMs,
         why: OverWhy,
@@ -89,16 +89,16 @@
         let names: Vec<WorkerName> = self
             .workers
             .iter()
-            .filter(|(_, worker)| worker.held.keys().any(&matches))
+            .filter(|(_, worker)| worker.allocations.keys().any(&matches))
             .map(|(name, _)| name.clone())
             .collect();
         for name in names {
-            self.stop_on(now, &name, why, &matches);
+            self.stop_matching_on(now, &name, why, &matches);
         }
     }
 
     /// Tells the runs on one worker that match to stop.
-    pub(crate) fn stop_on(
+    pub(crate) fn stop_matching_on(
         &mut self,
         now: TimeMs,
         name: &WorkerName,
@@ -108,9 +108,9 @@
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        self.wants_orders = true;
+        self.has_due_orders = true;
         let mut never_sent = Vec::new();
-        for (task, held) in &mut worker.held {
+        for (task, held) in &mut worker.allocations {
             if held.is_stopping() || !matches(task) {
                 continue;
             }
@@ -120,12 +120,12 @@
             held.phase = AllocationPhase::stop_pending(why);
         }
         for (task, run) in never_sent {
-            self.resolve(now, name, &task, run, RunOutcome::NoVerdict);
+            self.end_run(now, name, &task, run, RunOutcome::NoVerdict);
         }
     }
 
     /// Stops a task, and with it the whole gang that it is a member of.
-    pub(crate) fn stop_group(&mut self, now: TimeMs, task: &TaskId, why: OverWhy) {
+    pub(crate) fn stop_with_gang(&mut self, now: TimeMs, task: &TaskId, why: OverWhy) {
         let is_gang = self
             .jobs
             .get(&task.job_id)
@@ -133,9 +133,9 @@
             .is_some_and(|spec| spec.is_gang);
         if is_gang {
             let step = task.step_id();
-            self.stop_where(now, why, |other| other.belongs_to(&step));
+            self.stop_matching(now, why, |other| other.belongs_to(&step));
         } else {
-            self.stop_where(now, why, |other| other == task);
+            self.stop_matching(now, why, |other| other == task);
         }
     }
 }
--- a/ragwortwick-area/src/value.rs
+++ b/ragwortwick-area/src/value.rs
@@ -41,7 +41,7 @@
         occurrence: usize,
         due_at: TimeMs,
     ) -> Standing {
-        let terms = self.terms_of(job);
+        let terms = self.queue_policy(job);
         let steps = &job.occurrences[occurrence];
         let rest_ms = rest_of_chain_ms(job, steps);
         let objective_ms = terms.objective_ms(job.record.critical_path_ms());
@@ -76,7 +76,7 @@
     pub(crate) fn worth_of_core_second(&self) -> f64 {
         let mut worth = 0.0;
         let mut work = 0.0;
-        for (queue, (sum, count)) in &self.work_seen {
+        for (queue, (sum, count)) in &self.submitted_work {
             let priority = self
                 .desired
                 .queues
@@ -89,7 +89,7 @@
     }
 
     fn mean_work(&self, queue: &ragwortwick_core::ClassName) -> Option<f64> {
-        let (sum, count) = self.work_seen.get(queue)?;
+        let (sum, count) = self.submitted_work.get(queue)?;
         (*count > 0).then(|| sum / f64::from(*count))
     }
 }
--- a/ragwortwick-area/src/worker.rs
+++ b/ragwortwick-area/src/worker.rs
@@ -40,27 +40,27 @@
     pub(crate) is_listed: bool,
     /// When it must have left, for a draining worker that told its remaining time.
     pub(crate) leaves_at: Option<TimeMs>,
-    pub(crate) held: BTreeMap<TaskId, Allocation>,
+    pub(crate) allocations: BTreeMap<TaskId, Allocation>,
     used: Resources,
     /// What runs that nobody waits for took when the worker was last looked at.
-    pub(crate) strays: Resources,
+    pub(crate) untracked: Resources,
     /// The worker's clock, as last told, and when that was.
     clock: Option<(u64, TimeMs)>,
     /// No lease that was ever granted there lasts longer.
-    pub(crate) lease_bound: TimeMs,
+    pub(crate) lease_expires_by: TimeMs,
     /// When this coordinator sent a lease there last, or took the worker over.
-    pub(crate) leased_at: TimeMs,
-    pub(crate) look: PollState,
+    pub(crate) lease_sent_at: TimeMs,
+    pub(crate) poll: PollState,
     /// Since when looks fail; none if the last one was answered.
-    pub(crate) silence: Option<Silence>,
+    pub(crate) contact_loss: Option<Silence>,
     /// Highest number of an end that was taken in.
-    pub(crate) taken_in: u64,
+    pub(crate) received_end: u64,
     /// Highest number of an end whose effect is stored.
-    pub(crate) stored: u64,
+    pub(crate) stored_end: u64,
     /// Highest number that the worker was told to forget.
-    pub(crate) told: u64,
+    pub(crate) acked_end: u64,
     /// Failed runs of different jobs since the last run that ended well.
-    pub(crate) failures_in_row: u32,
+    pub(crate) consecutive_failures: u32,
     /// No new work goes there before.
     pub(crate) avoid_until: TimeMs,
     /// Its runs hardly moved on when last seen: no new work goes there before.
@@ -68,9 +68,9 @@
     /// How fast it is against others.
     pub(crate) speed: SpeedRecord,
     /// Pace of the fillers here.
-    pub(crate) filler_percent: u32,
+    pub(crate) filler_pace_percent: u32,
     /// When that changed last; none while nothing serves here.
-    pub(crate) paced_at: Option<TimeMs>,
+    pub(crate) pace_changed_at: Option<TimeMs>,
 }
 
 impl Worker {
@@ -79,25 +79,25 @@
             entry: entry.clone(),
             is_listed: true,
             leaves_at: None,
-            held: BTreeMap::new(),
+            allocations: BTreeMap::new(),
             used: Resources::default(),
-            strays: Resources::default(),
+            untracked: Resources::default(),
             clock: None,
-            lease_bound: now,
-            leased_at: now,
-            look: PollState::Idle { next_at: now },
-            silence: None,
-            taken_in: 0,
-            stored: 0,
-            told: 0,
-            failures_in_row: 0,
+            lease_expires_by: now,
+            lease_sent_at: now,
+            poll: PollState::Idle { next_at: now },
+            contact_loss: None,
+            received_end: 0,
+            stored_end: 0,
+            acked_end: 0,
+            consecutive_failures: 0,
             avoid_until: TimeMs(0),
             stalled_until: TimeMs(0),
             speed: SpeedRecord::default(),
-            filler_percent: 100,
-            paced_at: None,
+            filler_pace_percent: 100,
+            pace_changed_at: None,
         };
-        worker.refresh(now, entry);
+        worker.update_entry(now, entry);
         worker
     }
 
@@ -120,7 +120,7 @@
         worker
     }
 
-    pub(crate) fn refresh(&mut self, now: TimeMs, entry: WorkerEntry) {
+    pub(crate) fn update_entry(&mut self, now: TimeMs, entry: WorkerEntry) {
         if self.clock.is_none()
             && let Some(clock_ms) = entry.clock_ms
         {
@@ -135,23 +135,25 @@
     }
 
     /// The clock told in an answer; an answer travels, so the true clock is this or later.
-    pub(crate) fn hear_clock(&mut self, now: TimeMs, clock_ms: u64) {
+    pub(crate) fn record_clock(&mut self, now: TimeMs, clock_ms: u64) {
         self.clock = Some((clock_ms, now));
     }
 
     /// When it answered last; when it became known before any answer.
-    pub(crate) fn heard_at(&self) -> TimeMs {
-        self.clock.map_or(self.leased_at, |(_, heard_at)| heard_at)
+    pub(crate) fn last_reply_at(&self) -> TimeMs {
+        self.clock
+            .map_or(self.lease_sent_at, |(_, heard_at)| heard_at)
     }
 
     /// Whether the last look failed.
-    pub(crate) fn is_silent(&self) -> bool {
-        self.silence.is_some()
+    pub(crate) fn is_unresponsive(&self) -> bool {
+        self.contact_loss.is_some()
     }
 
     /// Notes that a look failed; the silence goes on since the first.
-    pub(crate) fn fall_silent(&mut self, now: TimeMs, kind: SilenceKind) {
-        self.silence.get_or_insert(Silence { since: now, kind });
+    pub(crate) fn mark_unresponsive(&mut self, now: TimeMs, kind: SilenceKind) {
+        self.contact_loss
+            .get_or_insert(Silence { since: now, kind });
     }
 
     /// What its clock shows now, as far as it was told.
@@ -166,26 +168,26 @@
     }
 
     /// Notes that an order with a lease goes out: until the bound passes, runs may live on.
-    pub(crate) fn note_lease_sent(&mut self, now: TimeMs, limits: &Limits) {
-        self.leased_at = now;
-        self.lease_bound = self.lease_bound.max(now + longest_lease(limits));
+    pub(crate) fn record_lease_sent(&mut self, now: TimeMs, limits: &Limits) {
+        self.lease_sent_at = now;
+        self.lease_expires_by = self.lease_expires_by.max(now + max_lease_ms(limits));
     }
 
     /// Brings the next look forward, unless one is under way.
-    pub(crate) fn look_by(&mut self, at: TimeMs) {
-        if let PollState::Idle { next_at } = &mut self.look {
+    pub(crate) fn poll_by(&mut self, at: TimeMs) {
+        if let PollState::Idle { next_at } = &mut self.poll {
             *next_at = at.min(*next_at);
         }
     }
 
-    pub(crate) fn hold(&mut self, task: TaskId, held: Allocation) {
-        self.used = self.used.plus(held.need);
-        self.held.insert(task, held);
+    pub(crate) fn allocate(&mut self, task: TaskId, held: Allocation) {
+        self.used = self.used.plus(held.resources);
+        self.allocations.insert(task, held);
     }
 
     pub(crate) fn release(&mut self, task: &TaskId) -> Option<Allocation> {
-        let held = self.held.remove(task)?;
-        self.used = self.used.saturating_sub(held.need);
+        let held = self.allocations.remove(task)?;
+        self.used = self.used.saturating_sub(held.resources);
         Some(held)
     }
 
@@ -194,19 +196,19 @@
     }
 
     fn taken(&self) -> Resources {
-        self.used.plus(self.strays)
+        self.used.plus(self.untracked)
     }
 
     /// What is held beyond the capacity, which may have shrunk since; what is stopping counts.
-    pub(crate) fn excess(&self) -> Resources {
+    pub(crate) fn overcommitted(&self) -> Resources {
         self.taken().saturating_sub(self.entry.capacity)
     }
 
     /// Whether new work may go there.
-    pub(crate) fn takes_work(&self, now: TimeMs) -> bool {
+    pub(crate) fn is_schedulable(&self, now: TimeMs) -> bool {
         self.is_listed
             && !self.entry.is_draining
-            && !self.is_silent()
+            && !self.is_unresponsive()
             && self.clock.is_some()
             && now >= self.avoid_until
             && now >= self.stalled_until
@@ -216,37 +218,37 @@
     /// Whether a look is wanted: something runs, also for nobody, ends have to be forgotten, or it is not known whether
     /// a listed worker is back in reach. Silence ends with a look alone, and a silent worker gets no
     /// work: after a cut that outlasted all leases no worker would ever get any.
-    pub(crate) fn wants_look(&self) -> bool {
+    pub(crate) fn needs_poll(&self) -> bool {
         let has_run = self
-            .held
+            .allocations
             .values()
             .any(|held| !matches!(held.phase, AllocationPhase::AwaitingRecord));
         has_run
-            || !self.strays.is_zero()
-            || self.stored > self.told
-            || (self.is_silent() && self.is_listed)
+            || !self.untracked.is_zero()
+            || self.stored_end > self.acked_end
+            || (self.is_unresponsive() && self.is_listed)
     }
 
     /// Ends that are taken in but not stored would be listed again at once; a look waits for them.
-    pub(crate) fn awaits_store(&self) -> bool {
-        self.taken_in > self.stored
+    pub(crate) fn has_unstored_ends(&self) -> bool {
+        self.received_end > self.stored_end
     }
 
     /// When the next look is due: later while ends wait to be stored, but in time for the lease.
-    pub(crate) fn look_due_at(&self, next_at: TimeMs) -> TimeMs {
-        if self.awaits_store() {
+    pub(crate) fn poll_due_at(&self, next_at: TimeMs) -> TimeMs {
+        if self.has_unstored_ends() {
             next_at + AWAIT_STORE_MS
         } else {
             next_at
         }
     }
 
-    pub(crate) fn is_forgettable(&self) -> bool {
-        !self.is_listed && self.held.is_empty()
+    pub(crate) fn can_be_removed(&self) -> bool {
+        !self.is_listed && self.allocations.is_empty()
     }
 }
 
 /// The longest time that a lease sent now can last on our clock.
-pub(crate) fn longest_lease(limits: &Limits) -> DurationMs {
+pub(crate) fn max_lease_ms(limits: &Limits) -> DurationMs {
     DurationMs(limits.lease_ms.0 * (100 + CLOCK_DRIFT_PERCENT) / 100 + LEASE_MARGIN_MS.0)
 }
--- a/ragwortwick-area/tests/pacing.rs
+++ b/ragwortwick-area/tests/pacing.rs
@@ -21,7 +21,7 @@
     rig.now = TimeMs(rig.now.0 + 20);
     rig.tell(Event::WorkersConfirmed);
     rig.now = TimeMs(rig.now.0 + 50);
-    rig.coordinator.call_ended(rig.now);
+    rig.coordinator.record_call_end(rig.now);
     rig.hand_in("00000000000000d1", "patient", step(1, 1));
     assert!(rig.store().is_empty(), "no pass with the next event");
     rig.pass(140);
--- a/ragwortwick-daemon/src/area/coordinator_handler.rs
+++ b/ragwortwick-daemon/src/area/coordinator_handler.rs
@@ -104,7 +104,7 @@
         let now = self.at(now);
         let actions = self.coordinator.on_event(now, event);
         self.hand_out(actions);
-        self.coordinator.call_ended(self.clock.now());
+        self.coordinator.record_call_end(self.clock.now());
         self.load.add(now.steady, begun, &self.coordinator);
     }
 
@@ -113,7 +113,7 @@
         let now = self.at(now);
         let actions = self.coordinator.on_wakeup(now);
         self.hand_out(actions);
-        self.coordinator.call_ended(self.clock.now());
+        self.coordinator.record_call_end(self.clock.now());
         self.load.add(now.steady, begun, &self.coordinator);
     }
 
