--- a/ragwortwick-area/src/allocation.rs
+++ b/ragwortwick-area/src/allocation.rs
@@ -5,9 +5,9 @@
 use ragwortwick_core::{DurationMs, TimeMs};
 
 use crate::account::OverWhy;
+use crate::colocation::Role;
 use crate::crashes::CrashRecord;
 use crate::job::{Resources, StepSpec};
-use crate::sharing::Role;
 use crate::watch::Watch;
 
 /// `AllocationPhase` tells how sure it is that a run is on its worker.
--- a/ragwortwick-area/src/headroom.rs
+++ b/ragwortwick-area/src/headroom.rs
@@ -13,7 +13,7 @@
 use crate::coordinator::Coordinator;
 use crate::job::StepSpec;
 use crate::packing::{Bounds, Slot, racks};
-use crate::room::Room;
+use crate::pool_capacity::Room;
 
 /// How many times the recent peak of urgent demand is left. A gang takes whole workers, often of one rack,
 /// so only a part of what is free is of use to it.
--- a/ragwortwick-area/src/schedule.rs
+++ b/ragwortwick-area/src/placement.rs
@@ -9,9 +9,9 @@
 use crate::headroom;
 use crate::job::StepSpec;
 use crate::job_state::{JobState, TaskState};
-use crate::keeping::Keeping;
 use crate::packing::{Bounds, Reach, pack_gang, pack_single};
-use crate::room::Room;
+use crate::pool_capacity::Room;
+use crate::reservation::Keeping;
 
 /// How long before its bound a guaranteed job takes any place, also one where it runs slower.
 const RECLAIM_ANYWHERE_MS: DurationMs = DurationMs(1_000);
--- a/ragwortwick-area/src/preempt.rs
+++ b/ragwortwick-area/src/preemption.rs
@@ -8,10 +8,10 @@
 use crate::allocation::Allocation;
 use crate::candidates::Candidate;
 use crate::coordinator::Coordinator;
-use crate::displacement::{Plan, cheapest, find};
 use crate::job::{Resources, StepId, StepSpec, TaskId};
 use crate::packing::{Bounds, Slot};
-use crate::room::Room;
+use crate::pool_capacity::Room;
+use crate::preemption_plan::{Plan, cheapest, find};
 
 /// Work that a stop costs beside what it throws away: the run's room stands empty meanwhile.
 const RESTART_MS: u64 = 500;
--- a/ragwortwick-area/src/displacement.rs
+++ b/ragwortwick-area/src/preemption_plan.rs
@@ -8,7 +8,7 @@
 
 use crate::job::{Resources, StepSpec};
 use crate::packing::{Bounds, Reach, Slot, pack_gang, pack_single, racks};
-use crate::preempt::Victim;
+use crate::preemption::Victim;
 
 /// `Plan` is a set of victims to stop and where the work then goes.
 pub(crate) struct Plan {
--- a/ragwortwick-area/src/keeping.rs
+++ b/ragwortwick-area/src/reservation.rs
@@ -15,7 +15,7 @@
 use crate::headroom;
 use crate::job::{Resources, StepSpec};
 use crate::packing::{Bounds, Slot, racks};
-use crate::room::Room;
+use crate::pool_capacity::Room;
 
 /// Share of the pool's workers, in per cent, on which room is kept at a time: what is kept stands idle.
 const KEPT_SHARE_PERCENT: usize = 35;
--- a/ragwortwick-http/src/client.rs
+++ b/ragwortwick-http/src/client.rs
@@ -14,7 +14,7 @@
 use serde::de::DeserializeOwned;
 use tokio::time::timeout;
 
-use crate::answer::{AnswerLimits, BodyFailure, read_body};
+use crate::response_body::{AnswerLimits, BodyFailure, read_body};
 
 /// `HttpClientOptions` sets the bounds of a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/ragwortwick-http/src/lib.rs
+++ b/ragwortwick-http/src/lib.rs
@@ -1,12 +1,12 @@
 //! HTTP for every process: a bounded server around gotham and a JSON client around hyper-util.
 
-mod answer;
 mod client;
-mod reply;
+mod json;
+mod response_body;
 mod server;
-mod stall;
+mod write_timeout;
 
-pub use answer::AnswerLimits;
 pub use client::{Fetched, HttpClient, HttpClientOptions, HttpError, HttpReply};
-pub use reply::{Refusal, json_response, read_bytes, read_json};
+pub use json::{Refusal, json_response, read_bytes, read_json};
+pub use response_body::AnswerLimits;
 pub use server::{Server, ServerOptions};
--- a/ragwortwick-http/src/server.rs
+++ b/ragwortwick-http/src/server.rs
@@ -18,8 +18,8 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, oneshot};
 use tokio::task::JoinHandle;
 
-use crate::reply::{BODY_TIMEOUT_MS, BodyTimeout};
-use crate::stall::StallGuard;
+use crate::json::{BODY_TIMEOUT_MS, BodyTimeout};
+use crate::write_timeout::StallGuard;
 
 /// `ServerOptions` sets the bounds of a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
