--- a/ragwortwick-area/src/advice.rs
+++ b/ragwortwick-area/src/advice.rs
@@ -13,7 +13,7 @@
 use crate::coordinator::Coordinator;
 use crate::job::{AdvisorTiming, StepId, StepSpec, TaskId};
 use crate::messages::{Action, AdviceReply};
-use crate::packing::{Slot, racks};
+use crate::packing::{Slot, rack_ranges};
 
 /// Most workers in one question; the users' objective allows for one question about so many a step.
 const MOST_ASKED: usize = 30;
@@ -70,7 +70,7 @@
 
 /// `NoTicket` says that a start can't be sent: it needs a ticket, and there is none that holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct NoTicket;
+pub(crate) struct MissingTicket;
 
 impl Ticket {
     fn holds(&self, now: TimeMs) -> bool {
@@ -80,7 +80,7 @@
 
 impl Advice {
     /// A worker did not take a ticket: it is worth nothing, however long it was to hold.
-    pub(crate) fn drop_ticket(&mut self, worker: &WorkerName, task: &TaskId) {
+    pub(crate) fn discard_ticket(&mut self, worker: &WorkerName, task: &TaskId) {
         if let Some(step) = self.steps.get_mut(&task.step_id()) {
             step.tickets.remove(worker);
         }
@@ -100,7 +100,7 @@
     }
 
     /// The workers that a candidate may go to now; none if any is good.
-    pub(crate) fn ticketed(
+    pub(crate) fn workers_with_ticket(
         &self,
         now: TimeMs,
         candidate: &Candidate,
@@ -109,7 +109,7 @@
     }
 
     /// The workers that may run a candidate, with a ticket that holds or a new one.
-    pub(crate) fn advised(&self, candidate: &Candidate) -> Option<BTreeSet<WorkerName>> {
+    pub(crate) fn permitted_workers(&self, candidate: &Candidate) -> Option<BTreeSet<WorkerName>> {
         self.allowed(candidate, |_| true)
     }
 
@@ -135,8 +135,8 @@
         now: TimeMs,
         worker: &WorkerName,
         task: &TaskId,
-    ) -> Result<Option<Arc<str>>, NoTicket> {
-        let job = self.jobs.get(&task.job_id).ok_or(NoTicket)?;
+    ) -> Result<Option<Arc<str>>, MissingTicket> {
+        let job = self.jobs.get(&task.job_id).ok_or(MissingTicket)?;
         if self.queue_policy(job).advice.is_none() {
             return Ok(None);
         }
@@ -144,7 +144,7 @@
         let ticket = step.and_then(|step| step.tickets.get(worker));
         match ticket {
             Some(ticket) if now < ticket.until => Ok(Some(Arc::clone(&ticket.text))),
-            _ => Err(NoTicket),
+            _ => Err(MissingTicket),
         }
     }
 
@@ -152,7 +152,12 @@
     ///
     /// Of all that do in a pass, the one is asked about that has waited longest for it: a step that
     /// finds no place with any advice would else keep the advisor from all others.
-    pub(crate) fn want_advice(&mut self, now: TimeMs, candidate: &Candidate, slots: &[Slot]) {
+    pub(crate) fn propose_advice_request(
+        &mut self,
+        now: TimeMs,
+        candidate: &Candidate,
+        slots: &[Slot],
+    ) {
         let Some(terms) = self.advice_terms(candidate) else {
             return;
         };
@@ -170,7 +175,7 @@
         if wanted.is_some_and(|other| other.last_at <= last_at) {
             return;
         }
-        let workers = worth_asking(now, slots, spec, known, candidate.may_displace());
+        let workers = worth_asking(now, slots, spec, known, candidate.can_preempt());
         if workers.is_empty() {
             return;
         }
@@ -184,7 +189,7 @@
     }
 
     /// Asks what the pass found to be most wanted.
-    pub(crate) fn ask_advice(&mut self, now: TimeMs) {
+    pub(crate) fn send_advice_request(&mut self, now: TimeMs) {
         let Some(question) = self.advice.wanted.take() else {
             return;
         };
@@ -199,7 +204,7 @@
     }
 
     /// Takes in an answer of the advisor.
-    pub(crate) fn advice_came(
+    pub(crate) fn on_advice_replied(
         &mut self,
         now: TimeMs,
         step: StepId,
@@ -248,15 +253,15 @@
     slots: &[Slot],
     spec: &StepSpec,
     known: Option<&StepAdvice>,
-    may_displace: bool,
+    can_preempt: bool,
 ) -> Vec<WorkerName> {
     let mut ranked = Vec::new();
-    for within in racks(slots) {
+    for within in rack_ranges(slots) {
         let neighbours = &slots[within];
         let in_rack: u64 = neighbours.iter().map(|slot| slot.fits(spec)).sum();
         for slot in neighbours {
             let has_room = slot.fits(spec) > 0;
-            let is_candidate = slot.has_label(spec) && (has_room || may_displace);
+            let is_candidate = slot.has_required_label(spec) && (has_room || can_preempt);
             let ticket = known.and_then(|step| step.tickets.get(&slot.worker));
             let is_refused = known.is_some_and(|step| step.refused.contains(&slot.worker));
             if !is_candidate || is_refused || ticket.is_some_and(|ticket| ticket.holds(now)) {
@@ -265,7 +270,7 @@
             let rank = (
                 !has_room,
                 ticket.is_none(),
-                slot.is_far(spec),
+                slot.is_remote(spec),
                 Reverse(in_rack),
                 Reverse(slot.fits(spec)),
             );
--- a/ragwortwick-area/src/allocation.rs
+++ b/ragwortwick-area/src/allocation.rs
@@ -5,7 +5,7 @@
 use ragwortwick_core::{DurationMs, TimeMs};
 
 use crate::account::OverWhy;
-use crate::colocation::Role;
+use crate::colocation::ColocationRole;
 use crate::crashes::CrashRecord;
 use crate::job::{Resources, StepSpec};
 use crate::watch::Watch;
@@ -75,7 +75,7 @@
     /// Crashes of workers under its task before it began.
     pub(crate) crash_history: CrashRecord,
     /// What it is to others on its worker.
-    pub(crate) role: Role,
+    pub(crate) role: ColocationRole,
     /// Whether it goes on from a checkpoint if it is stopped.
     pub(crate) saves_checkpoints: bool,
     /// How long it takes by its customer's estimate.
@@ -104,7 +104,7 @@
             is_resumed: false,
             start_attempts: 0,
             crash_history: CrashRecord::default(),
-            role: Role::of(spec),
+            role: ColocationRole::of(spec),
             saves_checkpoints: spec.saves_checkpoints,
             expected_ms: spec.estimate_ms,
             is_tracked: !spec.is_long_running && !spec.is_filler,
--- a/ragwortwick-area/src/candidates.rs
+++ b/ragwortwick-area/src/candidates.rs
@@ -20,13 +20,13 @@
     /// Whether the customer's guarantee covers it.
     pub(crate) is_guaranteed: bool,
     /// When others were stopped for it, if that was a moment ago.
-    pub(crate) cleared_at: Option<TimeMs>,
-    pub(crate) density: f64,
+    pub(crate) preempted_at: Option<TimeMs>,
+    pub(crate) value_density: f64,
     /// Worth of the whole job if it is in time.
-    pub(crate) worth: f64,
+    pub(crate) value: f64,
     /// Whether it can still be of any worth to its caller.
-    pub(crate) has_hope: bool,
-    pub(crate) is_in_time: bool,
+    pub(crate) has_value_left: bool,
+    pub(crate) can_meet_objective: bool,
 }
 
 impl Candidate {
@@ -39,14 +39,14 @@
     }
 
     /// Whether others may be stopped for it: a promise, or an urgent answer that can still be in time.
-    pub(crate) fn may_displace(&self) -> bool {
-        self.is_guaranteed || (self.priority == 0 && self.is_in_time)
+    pub(crate) fn can_preempt(&self) -> bool {
+        self.is_guaranteed || (self.priority == 0 && self.can_meet_objective)
     }
 }
 
-/// `UrgentUse` is what urgent work uses now, in accelerators.
+/// `UrgentUsage` is what urgent work uses now, in accelerators.
 #[derive(Debug, Default)]
-pub(crate) struct UrgentUse {
+pub(crate) struct UrgentUsage {
     pub(crate) by_customer: BTreeMap<CustomerName, u64>,
     pub(crate) by_pool: BTreeMap<PoolName, u64>,
 }
@@ -57,7 +57,7 @@
 
 impl Coordinator {
     /// All steps that could start now.
-    pub(crate) fn candidates(&mut self, now: Now, urgent_use: &UrgentUse) -> Vec<Candidate> {
+    pub(crate) fn candidates(&mut self, now: Now, urgent_usage: &UrgentUsage) -> Vec<Candidate> {
         let mut found = Vec::new();
         let mut next_due: Option<TimeMs> = None;
         for job_id in &self.open_jobs {
@@ -76,7 +76,7 @@
                     break;
                 }
                 let steps = &job.occurrences[occurrence as usize];
-                let mut standing = None;
+                let mut occurrence_value = None;
                 for number in 0..u32::try_from(steps.len()).unwrap_or(u32::MAX) {
                     let step = &steps[number as usize];
                     let is_blocked = step.is_done() || step.is_gang_ending;
@@ -86,8 +86,8 @@
                     {
                         continue;
                     }
-                    let standing = *standing.get_or_insert_with(|| {
-                        self.standing(now.steady, job, occurrence as usize, due_at)
+                    let occurrence_value = *occurrence_value.get_or_insert_with(|| {
+                        self.occurrence_value(now.steady, job, occurrence as usize, due_at)
                     });
                     found.push(Candidate {
                         job_id: job_id.clone(),
@@ -98,11 +98,11 @@
                         priority: terms.priority,
                         due_at,
                         is_guaranteed: false,
-                        cleared_at: None,
-                        density: standing.density,
-                        worth: standing.worth,
-                        has_hope: standing.has_hope,
-                        is_in_time: standing.is_in_time,
+                        preempted_at: None,
+                        value_density: occurrence_value.value_density,
+                        value: occurrence_value.value,
+                        has_value_left: occurrence_value.has_value_left,
+                        can_meet_objective: occurrence_value.can_meet_objective,
                     });
                 }
             }
@@ -111,15 +111,15 @@
         self.preempted_for
             .retain(|_, at| now.steady.since(*at) <= CLEARED_MS);
         for candidate in &mut found {
-            candidate.cleared_at = self.preempted_for.get(&candidate.step_id()).copied();
+            candidate.preempted_at = self.preempted_for.get(&candidate.step_id()).copied();
         }
-        self.mark_guaranteed(&mut found, urgent_use);
+        self.mark_guaranteed(&mut found, urgent_usage);
         found
     }
 
     /// Marks urgent steps as guaranteed, oldest first, while their customer's share covers them.
-    fn mark_guaranteed(&self, candidates: &mut [Candidate], urgent_use: &UrgentUse) {
-        let mut used = urgent_use.by_customer.clone();
+    fn mark_guaranteed(&self, candidates: &mut [Candidate], urgent_usage: &UrgentUsage) {
+        let mut used = urgent_usage.by_customer.clone();
         let mut order: Vec<usize> = (0..candidates.len())
             .filter(|&index| candidates[index].priority == 0)
             .collect();
@@ -129,7 +129,7 @@
             let Some(customer) = self.desired.customers.get(&candidate.customer) else {
                 continue;
             };
-            let Some(need) = self.waiting_accelerators(candidate) else {
+            let Some(need) = self.pending_accelerators(candidate) else {
                 continue;
             };
             let taken = used.entry(candidate.customer.clone()).or_insert(0);
@@ -140,7 +140,7 @@
         }
     }
 
-    pub(crate) fn waiting_accelerators(&self, candidate: &Candidate) -> Option<u64> {
+    pub(crate) fn pending_accelerators(&self, candidate: &Candidate) -> Option<u64> {
         let job = self.jobs.get(&candidate.job_id)?;
         let count = job
             .step(candidate.occurrence, candidate.step)?
@@ -148,8 +148,8 @@
         Some(job.spec(candidate.step)?.need.accelerators * count as u64)
     }
 
-    pub(crate) fn urgent_use(&self) -> UrgentUse {
-        let mut used = UrgentUse::default();
+    pub(crate) fn urgent_usage(&self) -> UrgentUsage {
+        let mut used = UrgentUsage::default();
         for worker in self.workers.values() {
             for (task, held) in &worker.allocations {
                 if held.priority != 0 || held.is_stopping() {
@@ -181,9 +181,9 @@
 
 /// What others were stopped for first; then guaranteed work, oldest first; then by worth over the
 /// accelerator time still needed.
-pub(crate) fn order(candidates: &mut [Candidate]) {
+pub(crate) fn sort_candidates(candidates: &mut [Candidate]) {
     candidates.sort_by(|a, b| {
-        let cleared = |candidate: &Candidate| candidate.cleared_at.unwrap_or(TimeMs(u64::MAX));
+        let cleared = |candidate: &Candidate| candidate.preempted_at.unwrap_or(TimeMs(u64::MAX));
         cleared(a)
             .cmp(&cleared(b))
             .then_with(|| b.is_guaranteed.cmp(&a.is_guaranteed))
@@ -191,10 +191,10 @@
                 if a.is_guaranteed {
                     a.due_at.cmp(&b.due_at)
                 } else {
-                    b.density.total_cmp(&a.density)
+                    b.value_density.total_cmp(&a.value_density)
                 }
             })
-            .then_with(|| b.is_in_time.cmp(&a.is_in_time))
+            .then_with(|| b.can_meet_objective.cmp(&a.can_meet_objective))
             .then_with(|| a.job_id.cmp(&b.job_id))
             .then_with(|| a.occurrence.cmp(&b.occurrence))
             .then_with(|| a.step.cmp(&b.step))
--- a/ragwortwick-area/src/colocation.rs
+++ b/ragwortwick-area/src/colocation.rs
@@ -40,7 +40,7 @@
 
 /// `Role` is what a run is to others on its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Role {
+pub(crate) enum ColocationRole {
     /// It has its own room.
     Ordinary,
     /// It serves users, who feel its tail latency.
@@ -52,7 +52,7 @@
     Fills,
 }
 
-impl Role {
+impl ColocationRole {
     pub(crate) fn of(spec: &StepSpec) -> Self {
         match spec.tail_target_ms {
             _ if spec.is_filler => Self::Fills,
@@ -71,7 +71,7 @@
             .allocations
             .values()
             .filter_map(|held| match held.role {
-                Role::Serves { target_ms }
+                ColocationRole::Serving { target_ms }
                     if matches!(held.phase, AllocationPhase::Running { .. }) =>
                 {
                     let percent = u64::from(held.load) * 100 / target_ms;
@@ -85,12 +85,12 @@
     fn has_fillers(&self) -> bool {
         self.allocations
             .values()
-            .any(|held| held.role == Role::Fills)
+            .any(|held| held.role == ColocationRole::Filler)
     }
 
     /// Whether tasks that serve and fillers are here together, so that looks must be frequent.
-    pub(crate) fn is_shared(&self) -> bool {
-        let serves = |role| matches!(role, Role::Serves { .. });
+    pub(crate) fn has_colocated_fillers(&self) -> bool {
+        let serves = |role| matches!(role, ColocationRole::Serving { .. });
         self.has_fillers() && self.allocations.values().any(|held| serves(held.role))
     }
 
@@ -123,7 +123,7 @@
 
 impl Coordinator {
     /// Sets the pace of a worker's fillers by what it has just told.
-    pub(crate) fn share(&mut self, now: TimeMs, worker_name: &WorkerName) {
+    pub(crate) fn pace_fillers(&mut self, now: TimeMs, worker_name: &WorkerName) {
         let can_start_work = self.can_start_work(now);
         let Some(worker) = self.workers.get_mut(worker_name) else {
             return;
@@ -135,7 +135,7 @@
         let percent = worker.filler_pace_percent;
         for (task, held) in &mut worker.allocations {
             let is_running = matches!(held.phase, AllocationPhase::Running { .. });
-            if held.role != Role::Fills
+            if held.role != ColocationRole::Filler
                 || !is_running
                 || held.confirmed_pace_percent == Some(percent)
             {
--- a/ragwortwick-area/src/coordinator.rs
+++ b/ragwortwick-area/src/coordinator.rs
@@ -6,9 +6,9 @@
 use ragwortwick_core::{ClassName, DurationMs, JobId, PoolName, TimeMs, WorkerName};
 
 use crate::account::OverWhy;
-use crate::advice::Advice;
+use crate::advice::AdvisorState;
 use crate::desired::DesiredState;
-use crate::headroom::UrgentPeak;
+use crate::headroom::UrgentDemandPeak;
 use crate::job::{JobRecord, QueuePolicy, StepId};
 use crate::job_state::JobState;
 use crate::limits::Limits;
@@ -16,7 +16,7 @@
 use crate::messages::{Action, Event, WorkerEntry};
 use crate::progress::{JobPhase, JobProgress};
 use crate::records::Records;
-use crate::value::whole_work;
+use crate::value::total_work;
 use crate::worker::Worker;
 
 /// How long a coordinator that lost the store goes on renewing what runs.
@@ -81,7 +81,7 @@
     /// Jobs that are not over, so that a pass doesn't go through all that ever were.
     pub(crate) open_jobs: BTreeSet<JobId>,
     pub(crate) records: Records,
-    pub(crate) advice: Advice,
+    pub(crate) advice: AdvisorState,
     pub(crate) actions: Vec<Action>,
     pub(crate) lease_valid_until: TimeMs,
     workers_fresh_at: Option<TimeMs>,
@@ -104,7 +104,7 @@
     /// Workers on which the last pass kept room.
     pub(crate) reserved_workers: BTreeSet<WorkerName>,
     /// Recent peak of urgent demand in each pool.
-    pub(crate) urgent_peaks: BTreeMap<PoolName, UrgentPeak>,
+    pub(crate) urgent_peaks: BTreeMap<PoolName, UrgentDemandPeak>,
     /// Workers that were lost lately.
     pub(crate) losses: Losses,
     /// Steps for which others were stopped, and when that was.
@@ -130,7 +130,7 @@
             jobs: BTreeMap::new(),
             open_jobs: BTreeSet::new(),
             records: Records::default(),
-            advice: Advice::default(),
+            advice: AdvisorState::default(),
             actions: Vec::new(),
             lease_valid_until: now.steady,
             workers_fresh_at: Some(now.steady),
@@ -194,9 +194,9 @@
             Event::PollFailed { worker, failure } => {
                 self.on_poll_failed(now.steady, &worker, failure);
             }
-            Event::PaceFailed { worker, task, run } => self.pace_failed(&worker, &task, run),
+            Event::PaceFailed { worker, task, run } => self.on_pace_failed(&worker, &task, run),
             Event::AdviceReplied { step, asked, reply } => {
-                self.advice_came(now.steady, step, asked, reply);
+                self.on_advice_replied(now.steady, step, asked, reply);
             }
             Event::LeaseExtended { until } => self.lease_valid_until = until,
         }
@@ -241,7 +241,7 @@
             self.pass_began = Some(now.steady);
             self.next_pass_at = now.steady + PASS_INTERVAL_MS;
             self.evacuate(now.steady);
-            self.pass(now);
+            self.run_placement_pass(now);
         }
         self.flush(now.steady);
         if has_chores || std::mem::take(&mut self.has_due_orders) {
@@ -342,7 +342,7 @@
             .submitted_work
             .entry(job.record.queue.clone())
             .or_insert((0.0, 0));
-        seen.0 += whole_work(job);
+        seen.0 += total_work(job);
         seen.1 += 1;
     }
 
@@ -364,7 +364,7 @@
             job.accounting.close(now);
         }
         self.open_jobs.remove(job_id);
-        self.advice.forget(job_id);
+        self.advice.remove_job(job_id);
         self.records.mark(job_id);
         let is_completed = self.phase(job_id) == Some(JobPhase::Completed);
         if !is_completed {
--- a/ragwortwick-area/src/headroom.rs
+++ b/ragwortwick-area/src/headroom.rs
@@ -12,8 +12,8 @@
 use crate::candidates::Candidate;
 use crate::coordinator::Coordinator;
 use crate::job::StepSpec;
-use crate::packing::{Bounds, Slot, racks};
-use crate::pool_capacity::Room;
+use crate::packing::{PlacementConstraints, Slot, rack_ranges};
+use crate::pool_capacity::PoolCapacity;
 
 /// How many times the recent peak of urgent demand is left. A gang takes whole workers, often of one rack,
 /// so only a part of what is free is of use to it.
@@ -26,14 +26,14 @@
 /// How long a peak of urgent demand is remembered: it counts for a third after this.
 const PEAK_DECAY_MS: DurationMs = DurationMs(10_000);
 
-/// `UrgentPeak` is the recent peak of what urgent work uses and waits for, in accelerators.
+/// `UrgentDemandPeak` is the recent peak of what urgent work uses and waits for, in accelerators.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct UrgentPeak {
+pub(crate) struct UrgentDemandPeak {
     accelerators: f64,
     at: TimeMs,
 }
 
-impl UrgentPeak {
+impl UrgentDemandPeak {
     /// Takes in the present demand; gives the peak.
     fn observe(&mut self, now: TimeMs, demand: u64) -> f64 {
         let spans = as_float(now.since(self.at).0) / as_float(PEAK_DECAY_MS.0);
@@ -51,10 +51,10 @@
         pool: &PoolName,
         candidates: &[&Candidate],
         used: u64,
-        room: &mut Room,
+        room: &mut PoolCapacity,
     ) {
-        let waiting = candidates.iter().filter(|c| c.may_displace());
-        let waiting: u64 = waiting.filter_map(|c| self.waiting_accelerators(c)).sum();
+        let waiting = candidates.iter().filter(|c| c.can_preempt());
+        let waiting: u64 = waiting.filter_map(|c| self.pending_accelerators(c)).sum();
         let peak = self.urgent_peaks.entry(pool.clone()).or_default();
         mark(
             &mut room.slots,
@@ -64,19 +64,23 @@
 }
 
 /// Which workers a step's tasks may go to, and rather go to, by its queue and kind.
-pub(crate) fn bounds_of(candidate: &Candidate, spec: &StepSpec, room: &Room) -> Bounds {
-    Bounds {
-        wants_fast: candidate.priority == 0,
-        spares_headroom: is_spared_by(candidate, spec, room),
-        ..Bounds::default()
+pub(crate) fn constraints_for(
+    candidate: &Candidate,
+    spec: &StepSpec,
+    room: &PoolCapacity,
+) -> PlacementConstraints {
+    PlacementConstraints {
+        prefers_fast: candidate.priority == 0,
+        avoids_headroom: is_spared_by(candidate, spec, room),
+        ..PlacementConstraints::default()
     }
 }
 
 /// Whether a step's tasks keep out of the headroom: their stop would throw their work away. While most of
 /// the pool is idle nobody needs it.
-fn is_spared_by(candidate: &Candidate, spec: &StepSpec, room: &Room) -> bool {
+fn is_spared_by(candidate: &Candidate, spec: &StepSpec, room: &PoolCapacity) -> bool {
     let is_narrow_gang = spec.is_gang && spec.count <= NARROW_GANG;
-    candidate.priority > 0 && !spec.saves_checkpoints && !is_narrow_gang && !room.is_spare()
+    candidate.priority > 0 && !spec.saves_checkpoints && !is_narrow_gang && !room.is_mostly_idle()
 }
 
 /// Marks whole racks until they have the given number of accelerators.
@@ -84,7 +88,7 @@
 /// Which racks come first depends on their names alone, so that they stay the same from pass to pass and
 /// from one coordinator to the next, and lie in all zones.
 fn mark(slots: &mut [Slot], accelerators: f64) {
-    let mut ranges: Vec<_> = racks(slots).collect();
+    let mut ranges: Vec<_> = rack_ranges(slots).collect();
     ranges.sort_by_cached_key(|range| order_of(&slots[range.start]));
     let mut left = accelerators;
     for range in ranges {
--- a/ragwortwick-area/src/job_state.rs
+++ b/ragwortwick-area/src/job_state.rs
@@ -10,7 +10,7 @@
 use crate::job::{JobRecord, StepSpec, TaskId};
 use crate::outcome::{FollowUp, RunOutcome, apply_gang_outcome, apply_task_outcome};
 use crate::progress::JobPhase;
-use crate::speed::AlikeDurations;
+use crate::speed::StepDurations;
 
 /// `TaskState` is where one task stands.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -46,7 +46,7 @@
     pub(crate) is_gang_ending: bool,
     pub(crate) has_failed_member: bool,
     /// What its tasks took so far.
-    pub(crate) durations: AlikeDurations,
+    pub(crate) durations: StepDurations,
 }
 
 impl StepState {
@@ -65,7 +65,7 @@
             gang_failures: 0,
             is_gang_ending: false,
             has_failed_member: false,
-            durations: AlikeDurations::default(),
+            durations: StepDurations::default(),
         }
     }
 
--- a/ragwortwick-area/src/packing.rs
+++ b/ragwortwick-area/src/packing.rs
@@ -23,13 +23,13 @@
     /// Accelerators of the worker in all.
     pub(crate) capacity_accelerators: u64,
     /// Evidence against the worker; slots with less of it are taken first.
-    pub(crate) doubt: u32,
+    pub(crate) consecutive_failures: u32,
     /// How fast the worker is.
     pub(crate) speed: Speed,
     /// Whether it is left to urgent work and to what is cheap to stop.
     pub(crate) is_headroom: bool,
     /// Whether nothing has begun there lately.
-    pub(crate) is_quiet: bool,
+    pub(crate) has_no_recent_start: bool,
     /// Whether nothing else begins there in this pass.
     pub(crate) is_closed: bool,
 }
@@ -51,14 +51,14 @@
     }
 
     /// Adds what is no longer held, as far as it was not in excess.
-    pub(crate) fn give_back(&mut self, amount: Resources) {
+    pub(crate) fn release(&mut self, amount: Resources) {
         let paid = self.excess.component_min(amount);
         self.excess = self.excess.saturating_sub(paid);
         self.free = self.free.plus(amount.saturating_sub(paid));
     }
 
     /// The same worker with an amount held again that was given back.
-    pub(crate) fn with_held_again(&self, amount: Resources) -> Self {
+    pub(crate) fn with_reallocated(&self, amount: Resources) -> Self {
         Self {
             excess: self.excess.plus(amount.saturating_sub(self.free)),
             free: self.free.saturating_sub(amount),
@@ -67,8 +67,8 @@
     }
 
     /// Counts how many tasks of the step it takes within the bounds.
-    pub(crate) fn room(&self, spec: &StepSpec, bounds: &Bounds) -> u64 {
-        if !self.has_label(spec) || !bounds.permits(self) {
+    pub(crate) fn room(&self, spec: &StepSpec, bounds: &PlacementConstraints) -> u64 {
+        if !self.has_required_label(spec) || !bounds.permits(self) {
             return 0;
         }
         let fits = self.fits(spec);
@@ -82,14 +82,14 @@
     }
 
     /// Whether the step's data is on another rack.
-    pub(crate) fn is_far(&self, spec: &StepSpec) -> bool {
+    pub(crate) fn is_remote(&self, spec: &StepSpec) -> bool {
         spec.data_rack
             .as_ref()
             .is_some_and(|data| *data != self.rack)
     }
 
     /// Whether it has the label that the step requires, if it requires one.
-    pub(crate) fn has_label(&self, spec: &StepSpec) -> bool {
+    pub(crate) fn has_required_label(&self, spec: &StepSpec) -> bool {
         spec.required_label
             .as_ref()
             .is_none_or(|label| self.labels.contains(label))
@@ -97,7 +97,7 @@
 }
 
 /// The slots of each rack, which lie together.
-pub(crate) fn racks(slots: &[Slot]) -> impl Iterator<Item = Range<usize>> {
+pub(crate) fn rack_ranges(slots: &[Slot]) -> impl Iterator<Item = Range<usize>> {
     let mut first = 0;
     slots
         .chunk_by(|a, b| a.rack_number == b.rack_number)
@@ -108,40 +108,40 @@
         })
 }
 
-/// `Bounds` says where a step's tasks may go, beside the room there.
+/// `PlacementConstraints` says where a step's tasks may go, beside the room there.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Bounds {
+pub(crate) struct PlacementConstraints {
     /// Tasks of the step that workers have already.
     pub(crate) taken: BTreeMap<WorkerName, u32>,
     /// The only workers that may run the step; none if any may.
     pub(crate) allowed: Option<BTreeSet<WorkerName>>,
     /// Whether the step rather goes to fast workers; if not, it leaves them to others.
-    pub(crate) wants_fast: bool,
+    pub(crate) prefers_fast: bool,
     /// Whether the headroom is left to others.
-    pub(crate) spares_headroom: bool,
+    pub(crate) avoids_headroom: bool,
     /// Whether the tasks go only where nothing has begun lately.
-    pub(crate) wants_quiet: bool,
+    pub(crate) needs_isolated_start: bool,
 }
 
-impl Bounds {
+impl PlacementConstraints {
     /// Notes that one more task of the step goes to a worker.
     pub(crate) fn take(&mut self, worker: &WorkerName) {
         *self.taken.entry(worker.clone()).or_insert(0) += 1;
     }
 
     fn permits(&self, slot: &Slot) -> bool {
-        let is_spared = self.spares_headroom && slot.is_headroom;
+        let is_spared = self.avoids_headroom && slot.is_headroom;
         let allowed = self.allowed.as_ref();
-        let is_too_busy = self.wants_quiet && !slot.is_quiet;
+        let is_too_busy = self.needs_isolated_start && !slot.has_no_recent_start;
         !is_spared && !is_too_busy && allowed.is_none_or(|allowed| allowed.contains(&slot.worker))
     }
 
     /// Ranks a worker by its speed, the wanted ones first.
     fn speed_rank(&self, speed: Speed) -> u8 {
         match speed {
-            Speed::Crawling => 2,
-            Speed::Slow => u8::from(self.wants_fast),
-            Speed::Usual => u8::from(!self.wants_fast),
+            Speed::VerySlow => 2,
+            Speed::Slow => u8::from(self.prefers_fast),
+            Speed::Normal => u8::from(!self.prefers_fast),
         }
     }
 }
@@ -149,8 +149,8 @@
 /// `PlaceRank` orders places for a task, the best first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct PlaceRank {
-    is_far: bool,
-    doubt: u32,
+    is_remote: bool,
+    consecutive_failures: u32,
     speed: u8,
     /// What may use the headroom goes there first and leaves the rest to others.
     is_outside_headroom: bool,
@@ -159,10 +159,10 @@
 }
 
 impl PlaceRank {
-    fn of(slot: &Slot, spec: &StepSpec, bounds: &Bounds) -> Self {
+    fn of(slot: &Slot, spec: &StepSpec, bounds: &PlacementConstraints) -> Self {
         Self {
-            is_far: slot.is_far(spec),
-            doubt: slot.doubt,
+            is_remote: slot.is_remote(spec),
+            consecutive_failures: slot.consecutive_failures,
             speed: bounds.speed_rank(slot.speed),
             is_outside_headroom: !slot.is_headroom,
             free_accelerators: slot.free.accelerators,
@@ -171,9 +171,9 @@
     }
 }
 
-/// `Reach` says how far from its best place work may go.
+/// `Locality` says how far from its best place work may go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Reach {
+pub(crate) enum Locality {
     /// Only where it is not slowed down by distance.
     Near,
     /// Anywhere.
@@ -188,12 +188,12 @@
     slots: &[Slot],
     spec: &StepSpec,
     count: usize,
-    bounds: &Bounds,
-    reach: Reach,
+    bounds: &PlacementConstraints,
+    reach: Locality,
 ) -> Option<Vec<usize>> {
     if spec.wants_same_rack {
         let in_rack = best_rack(slots, spec, count, bounds);
-        if in_rack.is_some() || reach == Reach::Near {
+        if in_rack.is_some() || reach == Locality::Required {
             return in_rack;
         }
     }
@@ -201,9 +201,14 @@
     fill(slots, &all, spec, count, bounds)
 }
 
-fn best_rack(slots: &[Slot], spec: &StepSpec, count: usize, bounds: &Bounds) -> Option<Vec<usize>> {
+fn best_rack(
+    slots: &[Slot],
+    spec: &StepSpec,
+    count: usize,
+    bounds: &PlacementConstraints,
+) -> Option<Vec<usize>> {
     let mut best: Option<(PlaceRank, Vec<usize>)> = None;
-    for within in racks(slots) {
+    for within in rack_ranges(slots) {
         let members: Vec<usize> = within.collect();
         let Some(places) = fill(slots, &members, spec, count, bounds) else {
             continue;
@@ -222,13 +227,17 @@
     members: &[usize],
     places: &[usize],
     spec: &StepSpec,
-    bounds: &Bounds,
+    bounds: &PlacementConstraints,
 ) -> PlaceRank {
     let first = PlaceRank::of(&slots[members[0]], spec, bounds);
     let taken = places.iter().map(|&index| &slots[index]);
     let free = members.iter().map(|&index| slots[index].free.accelerators);
     PlaceRank {
-        doubt: taken.clone().map(|slot| slot.doubt).max().unwrap_or(0),
+        consecutive_failures: taken
+            .clone()
+            .map(|slot| slot.consecutive_failures)
+            .max()
+            .unwrap_or(0),
         speed: taken
             .map(|slot| bounds.speed_rank(slot.speed))
             .max()
@@ -245,18 +254,18 @@
     members: &[usize],
     spec: &StepSpec,
     count: usize,
-    bounds: &Bounds,
+    bounds: &PlacementConstraints,
 ) -> Option<Vec<usize>> {
     let whole: u64 = members
         .iter()
-        .map(|&index| slots[index].room(spec, bounds))
+        .map(|&index| slots[index].placeable_tasks(spec, bounds))
         .sum();
     if whole < count as u64 {
         return None;
     }
     let mut ranked: Vec<(PlaceRank, usize, u64)> = members
         .iter()
-        .map(|&index| (index, slots[index].room(spec, bounds)))
+        .map(|&index| (index, slots[index].placeable_tasks(spec, bounds)))
         .filter(|(_, fits)| *fits > 0)
         .map(|(index, fits)| (PlaceRank::of(&slots[index], spec, bounds), index, fits))
         .collect();
@@ -277,16 +286,16 @@
 pub(crate) fn pack_single(
     slots: &[Slot],
     spec: &StepSpec,
-    bounds: &Bounds,
-    reach: Reach,
+    bounds: &PlacementConstraints,
+    reach: Locality,
 ) -> Option<usize> {
     let mut best: Option<(PlaceRank, usize)> = None;
     for (index, slot) in slots.iter().enumerate() {
-        if slot.room(spec, bounds) == 0 {
+        if slot.placeable_tasks(spec, bounds) == 0 {
             continue;
         }
         let rank = PlaceRank::of(slot, spec, bounds);
-        if rank.is_far && reach == Reach::Near {
+        if rank.is_remote && reach == Locality::Required {
             continue;
         }
         if best.as_ref().is_none_or(|(least, _)| rank < *least) {
--- a/ragwortwick-area/src/placement.rs
+++ b/ragwortwick-area/src/placement.rs
@@ -4,13 +4,13 @@
 
 use ragwortwick_core::{DurationMs, PoolName, TimeMs, WorkerName};
 
-use crate::candidates::{Candidate, order};
+use crate::candidates::{Candidate, sort_candidates};
 use crate::coordinator::{Coordinator, Now};
 use crate::headroom;
 use crate::job::StepSpec;
 use crate::job_state::{JobState, TaskState};
-use crate::packing::{Bounds, Reach, pack_gang, pack_single};
-use crate::pool_capacity::Room;
+use crate::packing::{Locality, PlacementConstraints, pack_gang, pack_single};
+use crate::pool_capacity::PoolCapacity;
 use crate::reservation::Keeping;
 
 /// How long before its bound a guaranteed job takes any place, also one where it runs slower.
@@ -18,7 +18,7 @@
 
 impl Coordinator {
     /// Places what can be placed, the most pressing work first.
-    pub(crate) fn pass(&mut self, now: Now) {
+    pub(crate) fn run_placement_pass(&mut self, now: Now) {
         if !self.can_start_work(now.steady) || !self.has_fresh_workers(now.steady) {
             // A set time that has come stays in the past until a pass: asking to be woken at it would
             // keep the thread busy without end. What is missing comes as an event, and that asks for
@@ -26,23 +26,23 @@
             self.next_scheduled_at = None;
             return;
         }
-        let urgent_use = self.urgent_use();
-        let mut candidates = self.candidates(now, &urgent_use);
-        order(&mut candidates);
+        let urgent_usage = self.urgent_usage();
+        let mut candidates = self.candidates(now, &urgent_usage);
+        sort_candidates(&mut candidates);
         let mut reserved_workers = BTreeSet::new();
         let pools: BTreeSet<PoolName> = candidates.iter().map(|c| c.pool.clone()).collect();
         for pool in pools {
-            let mut room = self.room(now.steady, &pool);
+            let mut room = self.pool_capacity(now.steady, &pool);
             let of_pool: Vec<&Candidate> = candidates.iter().filter(|c| c.pool == pool).collect();
-            let used = urgent_use.by_pool.get(&pool).copied().unwrap_or(0);
+            let used = urgent_usage.by_pool.get(&pool).copied().unwrap_or(0);
             self.mark_headroom(now.steady, &pool, &of_pool, used, &mut room);
             let (urgent, others): (Vec<_>, Vec<_>) =
-                of_pool.into_iter().partition(|c| c.may_displace());
+                of_pool.into_iter().partition(|c| c.can_preempt());
             self.place_urgent(now.steady, &urgent, &mut room);
             reserved_workers.extend(self.place_others(now.steady, &others, &mut room));
         }
         self.reserved_workers = reserved_workers;
-        self.ask_advice(now.steady);
+        self.send_advice_request(now.steady);
     }
 
     /// Places work that nobody is stopped for, in its order; for gangs that find no place room is kept.
@@ -51,19 +51,19 @@
         &mut self,
         now: TimeMs,
         others: &[&Candidate],
-        room: &mut Room,
+        room: &mut PoolCapacity,
     ) -> BTreeSet<WorkerName> {
         let mut failed: Vec<(StepSpec, usize)> = Vec::new();
-        let mut keeping = Keeping::new(room.slots.len());
+        let mut keeping = Reservations::new(room.slots.len());
         for candidate in others {
             if self.place_other(now, candidate, room, &mut failed) {
                 continue;
             }
-            if self.spare_kept_room(now, candidate, &mut room.slots, &mut keeping) {
+            if self.release_reservation_for(now, candidate, &mut room.slots, &mut keeping) {
                 self.place_step(now, candidate, room);
-            } else if candidate.has_hope && !room.is_spare() {
+            } else if candidate.has_value_left && !room.is_mostly_idle() {
                 // With half of the pool idle, what finds no place has other reasons than small tasks.
-                self.keep_room(now, candidate, room, &mut keeping);
+                self.reserve_for_gang(now, candidate, room, &mut keeping);
             }
         }
         keeping.workers
@@ -74,13 +74,13 @@
         &mut self,
         now: TimeMs,
         candidate: &Candidate,
-        room: &mut Room,
+        room: &mut PoolCapacity,
         failed: &mut Vec<(StepSpec, usize)>,
     ) -> bool {
         let Some(shape) = self.shape_of(candidate) else {
             return true;
         };
-        if shape.0.need.accelerators > 0 && !room.has_accelerators() {
+        if shape.0.need.accelerators > 0 && !room.has_free_accelerators() {
             return false;
         }
         // What found no place a moment ago finds none now: the room only shrinks during a pass. It
@@ -94,7 +94,7 @@
         if self.place_step(now, candidate, room) {
             return true;
         }
-        self.want_advice(now, candidate, &room.slots);
+        self.propose_advice_request(now, candidate, &room.slots);
         if !is_bound {
             failed.push(shape);
         }
@@ -127,7 +127,7 @@
         &mut self,
         now: TimeMs,
         candidate: &Candidate,
-        room: &mut Room,
+        room: &mut PoolCapacity,
     ) -> bool {
         let Some(job) = self.jobs.get(&candidate.job_id) else {
             return true;
@@ -137,13 +137,13 @@
         };
         let reach = if spec.is_long_running {
             // Its users wait for it to be there at all; how near its data is matters less.
-            Reach::Anywhere
+            Locality::Relaxed
         } else {
             self.reach(now, candidate, room)
         };
-        let mut bounds = Bounds {
-            allowed: self.ticketed(now, candidate),
-            ..headroom::bounds_of(candidate, &spec, room)
+        let mut bounds = PlacementConstraints {
+            allowed_workers: self.workers_with_ticket(now, candidate),
+            ..headroom::constraints_for(candidate, &spec, room)
         };
         take_placed(&mut bounds, job, candidate);
         if spec.is_gang {
@@ -152,13 +152,13 @@
         self.place_singles(now, candidate, &spec, bounds, reach, room)
     }
 
-    fn reach(&self, now: TimeMs, candidate: &Candidate, room: &Room) -> Reach {
+    fn reach(&self, now: TimeMs, candidate: &Candidate, room: &PoolCapacity) -> Locality {
         let bound = candidate.due_at + self.limits.reclaim_ms - RECLAIM_ANYWHERE_MS;
         let is_pressing = candidate.is_guaranteed && now >= bound;
-        if is_pressing || room.is_spare() {
-            Reach::Anywhere
+        if is_pressing || room.is_mostly_idle() {
+            Locality::Relaxed
         } else {
-            Reach::Near
+            Locality::Required
         }
     }
 
@@ -167,9 +167,9 @@
         now: TimeMs,
         candidate: &Candidate,
         spec: &StepSpec,
-        bounds: &Bounds,
-        reach: Reach,
-        room: &mut Room,
+        bounds: &PlacementConstraints,
+        reach: Locality,
+        room: &mut PoolCapacity,
     ) -> bool {
         let Some(job) = self.jobs.get(&candidate.job_id) else {
             return true;
@@ -194,9 +194,9 @@
         now: TimeMs,
         candidate: &Candidate,
         spec: &StepSpec,
-        mut bounds: Bounds,
-        reach: Reach,
-        room: &mut Room,
+        mut bounds: PlacementConstraints,
+        reach: Locality,
+        room: &mut PoolCapacity,
     ) -> bool {
         let Some(step) = self
             .jobs
@@ -213,11 +213,11 @@
         // Those that start alone find fewer places, and must not hold up the others.
         waiting.sort_unstable();
         for (starts_alone, index, run) in waiting {
-            bounds.wants_quiet = starts_alone;
+            bounds.needs_isolated_start = starts_alone;
             let Some(slot) = pack_single(&room.slots, spec, &bounds, reach) else {
                 return false;
             };
-            bounds.take(&room.slots[slot].worker);
+            bounds.count_task(&room.slots[slot].worker);
             self.put(now, candidate, index, slot, run, spec, room);
         }
         true
@@ -235,30 +235,30 @@
         slot: usize,
         run: u32,
         spec: &StepSpec,
-        room: &mut Room,
+        room: &mut PoolCapacity,
     ) {
         let Some(job) = self.jobs.get(&candidate.job_id) else {
             return;
         };
         let task = job.task_id(candidate.occurrence, candidate.step, index);
         let worker = room.slots[slot].worker.clone();
-        room.take(slot, spec.demand());
+        room.allocate(slot, spec.demand());
         if job
             .task(&task)
             .is_some_and(|state| state.crash_history.starts_alone())
         {
-            room.close(slot);
+            room.close_slot(slot);
         }
         self.place_run(now, &worker, &task, run, candidate.priority);
     }
 }
 
 /// Notes the tasks of the same step that workers have already, for the bound on one worker.
-fn take_placed(bounds: &mut Bounds, job: &JobState, candidate: &Candidate) {
+fn take_placed(bounds: &mut PlacementConstraints, job: &JobState, candidate: &Candidate) {
     let step = job.step(candidate.occurrence, candidate.step);
     for task in step.into_iter().flat_map(|step| &step.tasks) {
         if let TaskState::Placed(worker) = &task.state {
-            bounds.take(worker);
+            bounds.count_task(worker);
         }
     }
 }
--- a/ragwortwick-area/src/polls.rs
+++ b/ragwortwick-area/src/polls.rs
@@ -70,7 +70,7 @@
             let has_runs = !worker.allocations.is_empty();
             let wait_ms = if is_unsure || !has_runs {
                 DurationMs(0)
-            } else if worker.is_shared() {
+            } else if worker.has_colocated_fillers() {
                 SHARED_LOOK_WAIT_MS
             } else if worker.allocations.values().any(|held| held.priority == 0) {
                 urgent_wait_ms
--- a/ragwortwick-area/src/pool_capacity.rs
+++ b/ragwortwick-area/src/pool_capacity.rs
@@ -24,19 +24,19 @@
 }
 
 impl Room {
-    pub(crate) fn is_spare(&self) -> bool {
+    pub(crate) fn is_mostly_idle(&self) -> bool {
         self.used * 100 < self.capacity * SPARE_SHARE_PERCENT
     }
 
-    pub(crate) fn has_accelerators(&self) -> bool {
+    pub(crate) fn has_free_accelerators(&self) -> bool {
         self.slots.iter().any(|slot| slot.free.accelerators > 0)
     }
 
     /// Takes room for a task that begins on a worker.
     pub(crate) fn take(&mut self, index: usize, need: Resources) {
         let slot = &mut self.slots[index];
-        slot.take(need);
-        slot.is_quiet = false;
+        slot.allocate(need);
+        slot.has_no_recent_start = false;
         self.used += need.accelerators;
         self.taken.push((index, need));
     }
@@ -49,8 +49,8 @@
 
 impl Coordinator {
     /// What the workers of a pool have left now; only those that take work have slots.
-    pub(crate) fn room(&self, now: TimeMs, pool: &PoolName) -> Room {
-        let mut room = Room::default();
+    pub(crate) fn room(&self, now: TimeMs, pool: &PoolName) -> PoolCapacity {
+        let mut room = PoolCapacity::default();
         for (name, worker) in &self.workers {
             if worker.entry.pool != *pool || !worker.is_listed {
                 continue;
@@ -65,12 +65,12 @@
                     rack_number: 0,
                     labels: Arc::clone(&worker.entry.labels),
                     free,
-                    excess: worker.overcommitted(),
+                    overcommitted: worker.overcommitted(),
                     capacity_accelerators: worker.entry.capacity.accelerators,
-                    doubt: worker.consecutive_failures,
+                    consecutive_failures: worker.consecutive_failures,
                     speed: worker.speed.speed(),
                     is_headroom: false,
-                    is_quiet: worker.is_quiet(now),
+                    has_no_recent_start: worker.is_quiet(now),
                     is_closed: false,
                 });
             }
--- a/ragwortwick-area/src/preemption.rs
+++ b/ragwortwick-area/src/preemption.rs
@@ -9,8 +9,8 @@
 use crate::candidates::Candidate;
 use crate::coordinator::Coordinator;
 use crate::job::{Resources, StepId, StepSpec, TaskId};
-use crate::packing::{Bounds, Slot};
-use crate::pool_capacity::Room;
+use crate::packing::{PlacementConstraints, Slot};
+use crate::pool_capacity::PoolCapacity;
 use crate::preemption_plan::{Plan, cheapest, find};
 
 /// Work that a stop costs beside what it throws away: the run's room stands empty meanwhile.
@@ -54,21 +54,26 @@
     ///
     /// Room is kept at once, before what comes later is placed: a wide gang that waits for its last
     /// worker would else lose the others to every small job that comes in meanwhile.
-    pub(crate) fn place_urgent(&mut self, now: TimeMs, urgent: &[&Candidate], room: &mut Room) {
+    pub(crate) fn place_urgent(
+        &mut self,
+        now: TimeMs,
+        urgent: &[&Candidate],
+        room: &mut PoolCapacity,
+    ) {
         if urgent.is_empty() {
             return;
         }
         // What is stopping already is as good as free.
         let mut future = self.with_stopping_freed(&room.slots);
-        let worth_of_core_second = self.worth_of_core_second();
+        let value_per_core_second = self.value_per_core_second();
         let mut plans_left = MOST_PLANS;
         let slot_of = slots_by_worker(&room.slots);
         let mut victims: Option<Vec<Victim>> = None;
         let mut unplaced: Vec<(StepSpec, usize)> = Vec::new();
         for candidate in urgent {
             let is_placed = self.place_step(now, candidate, room);
-            for (index, need) in room.taken.drain(..) {
-                future[index].take(need);
+            for (index, need) in room.allocations.drain(..) {
+                future[index].allocate(need);
             }
             if is_placed {
                 continue;
@@ -76,15 +81,15 @@
             let Some((spec, count)) = self.waiting_tasks(candidate) else {
                 continue;
             };
-            self.want_advice(now, candidate, &room.slots);
-            let bounds = Bounds {
-                allowed: self.advised(candidate),
-                wants_fast: true,
-                ..Bounds::default()
+            self.propose_advice_request(now, candidate, &room.slots);
+            let bounds = PlacementConstraints {
+                allowed_workers: self.permitted_workers(candidate),
+                prefers_fast: true,
+                ..PlacementConstraints::default()
             };
             let shape = (spec.placement_key(), count);
             // What the advisor allows differs from step to step.
-            let is_hopeless = bounds.allowed.is_none() && unplaced.contains(&shape);
+            let is_hopeless = bounds.allowed_workers.is_none() && unplaced.contains(&shape);
             if !is_hopeless && let Some(places) = find(&future, &spec, count, &bounds) {
                 reserve(&mut future, room, &places, spec.demand());
                 continue;
@@ -105,26 +110,26 @@
             // Others are stopped only if what the caller gains by an answer in time is worth more than
             // what the room would have been used for. A bound that is the same for all would keep large
             // urgent jobs waiting, which are worth many times as much.
-            let gain = candidate.worth * (1.0 - self.limits.weights.late_share);
-            if !candidate.is_guaranteed && plan.waste * worth_of_core_second > gain {
+            let gain = candidate.value * (1.0 - self.limits.weights.late_share);
+            if !candidate.is_guaranteed && plan.lost_work * value_per_core_second > gain {
                 continue;
             }
             self.preempted_for.entry(candidate.step_id()).or_insert(now);
-            for victim in &plan.stopped {
+            for victim in &plan.victims {
                 // It would go first in the next pass, into the very room that it gave up.
                 self.preempted_for.remove(&victim.group.step);
                 self.stop_victim(now, victim, &candidate.job_id);
-                for &(index, need) in &victim.frees {
-                    future[index].give_back(need);
+                for &(index, need) in &victim.freed {
+                    future[index].release(need);
                 }
             }
             victims.retain(|victim| {
                 let is_stopped = |other: &Victim| other.group == victim.group;
-                !plan.stopped.iter().any(is_stopped)
+                !plan.victims.iter().any(is_stopped)
             });
             // What stops frees more than this job needs, so others may find room after all.
             unplaced.clear();
-            reserve(&mut future, room, &plan.places, spec.demand());
+            reserve(&mut future, room, &plan.placements, spec.demand());
         }
     }
 
@@ -186,7 +191,7 @@
                 .values()
                 .filter(|held| held.is_stopping())
             {
-                slot.give_back(held.resources);
+                slot.release(held.resources);
             }
         }
         future
@@ -238,11 +243,11 @@
                 });
                 let weight = self.limits.weights.of(held.priority);
                 victim.cost += weight * waste(spec.need, lost_ms + RESTART_MS);
-                victim.waste += waste(spec.need, lost_ms);
+                victim.lost_work += waste(spec.need, lost_ms);
                 victim.on.insert(name.clone());
                 // Room on a worker that takes no work helps nobody.
                 if let Some(&index) = slot_of.get(name) {
-                    victim.frees.push((index, held.resources));
+                    victim.freed.push((index, held.resources));
                 }
                 victim.accelerators += held.resources.accelerators;
             }
@@ -282,7 +287,7 @@
     future: &[Slot],
     spec: &StepSpec,
     count: usize,
-    bounds: &Bounds,
+    bounds: &PlacementConstraints,
     victims: &[Victim],
 ) -> Option<Plan> {
     if candidate.is_guaranteed {
@@ -308,10 +313,10 @@
 }
 
 /// Takes the places out of what later work may get, now and once the victims have stopped.
-fn reserve(future: &mut [Slot], room: &mut Room, places: &[usize], need: Resources) {
+fn reserve(future: &mut [Slot], room: &mut PoolCapacity, places: &[usize], need: Resources) {
     for &index in places {
         for slots in [&mut *future, &mut *room.slots] {
-            slots[index].take(need);
+            slots[index].allocate(need);
         }
     }
 }
--- a/ragwortwick-area/src/preemption_plan.rs
+++ b/ragwortwick-area/src/preemption_plan.rs
@@ -7,7 +7,7 @@
 use std::ops::Range;
 
 use crate::job::{Resources, StepSpec};
-use crate::packing::{Bounds, Reach, Slot, pack_gang, pack_single, racks};
+use crate::packing::{Locality, PlacementConstraints, Slot, pack_gang, pack_single, rack_ranges};
 use crate::preemption::Victim;
 
 /// `Plan` is a set of victims to stop and where the work then goes.
@@ -24,18 +24,18 @@
     slots: &[Slot],
     spec: &StepSpec,
     count: usize,
-    bounds: &Bounds,
+    bounds: &PlacementConstraints,
 ) -> Option<Vec<usize>> {
     if spec.is_gang {
-        return pack_gang(slots, spec, count, bounds, Reach::Near);
+        return pack_gang(slots, spec, count, bounds, Locality::Required);
     }
     let mut slots = slots.to_vec();
     let mut bounds = bounds.clone();
     let mut places = Vec::with_capacity(count);
     for _ in 0..count {
-        let index = pack_single(&slots, spec, &bounds, Reach::Anywhere)?;
-        bounds.take(&slots[index].worker);
-        slots[index].take(spec.demand());
+        let index = pack_single(&slots, spec, &bounds, Locality::Relaxed)?;
+        bounds.count_task(&slots[index].worker);
+        slots[index].allocate(spec.demand());
         places.push(index);
     }
     Some(places)
@@ -46,12 +46,12 @@
     slots: &[Slot],
     spec: &StepSpec,
     count: usize,
-    bounds: &Bounds,
+    bounds: &PlacementConstraints,
     victims: &[Victim],
 ) -> Option<Plan> {
     let mut best: Option<Plan> = None;
     if spec.is_gang && spec.wants_same_rack {
-        for within in racks(slots) {
+        for within in rack_ranges(slots) {
             let plan = Clearing::new(slots, within, spec, bounds, victims).plan(count);
             best = cheaper(best, plan);
         }
@@ -73,7 +73,7 @@
     spec: &'a StepSpec,
     within: Range<usize>,
     slots: Vec<Slot>,
-    bounds: Bounds,
+    bounds: PlacementConstraints,
     victims: &'a [Victim],
     /// The victims with something on each slot.
     on_slot: Vec<Vec<usize>>,
@@ -98,13 +98,13 @@
         pool: &[Slot],
         within: Range<usize>,
         spec: &'a StepSpec,
-        bounds: &Bounds,
+        bounds: &PlacementConstraints,
         victims: &'a [Victim],
     ) -> Self {
         let slots = pool[within.clone()].to_vec();
         let mut on_slot = vec![Vec::new(); slots.len()];
         for (number, victim) in victims.iter().enumerate() {
-            for (index, _) in &victim.frees {
+            for (index, _) in &victim.freed {
                 if within.contains(index) {
                     let on_slot: &mut Vec<usize> = &mut on_slot[index - within.start];
                     // The members of a gang may lie on one worker.
@@ -137,8 +137,8 @@
                 }
             }
             let slot = &mut self.slots[index];
-            slot.take(self.spec.demand());
-            self.bounds.take(&slot.worker);
+            slot.allocate(self.spec.demand());
+            self.bounds.count_task(&slot.worker);
             places.push(self.within.start + index);
         }
         let stopped = self.victims.iter().zip(&self.is_stopped);
@@ -147,7 +147,7 @@
             .map(|(victim, _)| victim.clone())
             .collect();
         Some(Plan {
-            waste: stopped.iter().map(|victim| victim.waste).sum(),
+            waste: stopped.iter().map(|victim| victim.lost_work).sum(),
             cost: stopped.iter().map(|victim| victim.cost).sum(),
             stopped,
             places,
@@ -163,7 +163,7 @@
         }
         let rank = |index: usize, cost: f64| {
             let slot = &self.slots[index];
-            (cost, slot.doubt, slot.free.accelerators)
+            (cost, slot.consecutive_failures, slot.free.accelerators)
         };
         let offers = self.offers.iter().enumerate();
         let rooms = offers.filter_map(|(index, offer)| match offer {
@@ -180,7 +180,7 @@
     /// The cheapest victims that leave room for one more task on a slot.
     fn offer(&self, index: usize) -> Offer {
         let mut slot = self.slots[index].clone();
-        let has_room = |slot: &Slot| slot.room(self.spec, &self.bounds) > 0;
+        let has_room = |slot: &Slot| slot.placeable_tasks(self.spec, &self.bounds) > 0;
         let mut stops: Vec<usize> = Vec::new();
         if !has_room(&slot) {
             let mut victims: Vec<usize> = self.on_slot[index]
@@ -195,7 +195,7 @@
                 price(a).total_cmp(&price(b))
             });
             for victim in victims {
-                slot.give_back(self.freed_on(victim, index));
+                slot.release(self.freed_on(victim, index));
                 stops.push(victim);
                 if has_room(&slot) {
                     break;
@@ -221,7 +221,7 @@
         let mut dearest = stops.clone();
         dearest.sort_by(|&a, &b| self.victims[b].cost.total_cmp(&self.victims[a].cost));
         for victim in dearest {
-            let without = slot.with_held_again(self.freed_on(victim, index));
+            let without = slot.with_reallocated(self.freed_on(victim, index));
             if has_room(&without) {
                 *slot = without;
                 stops.retain(|&other| other != victim);
@@ -234,7 +234,7 @@
         for (index, need) in &self.victims[victim].frees {
             if self.within.contains(index) {
                 let slot = &mut self.slots[index - self.within.start];
-                slot.give_back(*need);
+                slot.release(*need);
                 self.offers[index - self.within.start] = Offer::Unknown;
             }
         }
--- a/ragwortwick-area/src/reservation.rs
+++ b/ragwortwick-area/src/reservation.rs
@@ -14,8 +14,8 @@
 use crate::coordinator::Coordinator;
 use crate::headroom;
 use crate::job::{Resources, StepSpec};
-use crate::packing::{Bounds, Slot, racks};
-use crate::pool_capacity::Room;
+use crate::packing::{PlacementConstraints, Slot, rack_ranges};
+use crate::pool_capacity::PoolCapacity;
 
 /// Share of the pool's workers, in per cent, on which room is kept at a time: what is kept stands idle.
 const KEPT_SHARE_PERCENT: usize = 35;
@@ -62,7 +62,12 @@
 
 impl Keeping {
     /// Gives back what is kept on one worker that then has room for a task of the step, if there is one.
-    fn give_back(&mut self, slots: &mut [Slot], spec: &StepSpec, bounds: &Bounds) -> bool {
+    fn release(
+        &mut self,
+        slots: &mut [Slot],
+        spec: &StepSpec,
+        bounds: &PlacementConstraints,
+    ) -> bool {
         let with_kept = |slots: &[Slot], index: usize| {
             let kept = self.kept.iter().filter(|(at, _)| *at == index);
             let mut slot = slots[index].clone();
@@ -70,7 +75,8 @@
             slot
         };
         let mut indexes = self.kept.iter().map(|(index, _)| *index);
-        let found = indexes.find(|&index| with_kept(slots, index).room(spec, bounds) > 0);
+        let found =
+            indexes.find(|&index| with_kept(slots, index).placeable_tasks(spec, bounds) > 0);
         let Some(index) = found else {
             return false;
         };
@@ -93,12 +99,12 @@
     ///
     /// Kept room may stand idle for seconds. A caller whose job doesn't even begin meanwhile would see
     /// it forgotten, with most of the workers idle at the end of a busy time.
-    pub(crate) fn spare_kept_room(
+    pub(crate) fn release_reservation_for(
         &self,
         now: TimeMs,
         candidate: &Candidate,
         slots: &mut [Slot],
-        keeping: &mut Keeping,
+        keeping: &mut Reservations,
     ) -> bool {
         let Some(job) = self.jobs.get(&candidate.job_id) else {
             return false;
@@ -108,16 +114,18 @@
         };
         let idle_ms = now.since(job.last_run_ended_at.max(candidate.due_at));
         let is_left_out = job.is_idle() && idle_ms >= IDLE_MS;
-        is_left_out && !spec.is_gang && keeping.give_back(slots, spec, &Bounds::default())
+        is_left_out
+            && !spec.is_gang
+            && keeping.release(slots, spec, &PlacementConstraints::default())
     }
 
     /// Takes the room that a waiting gang gets soonest out of what later work may take.
-    pub(crate) fn keep_room(
+    pub(crate) fn reserve_for_gang(
         &self,
         now: TimeMs,
         candidate: &Candidate,
-        room: &mut Room,
-        keeping: &mut Keeping,
+        room: &mut PoolCapacity,
+        keeping: &mut Reservations,
     ) {
         let Some(job) = self.jobs.get(&candidate.job_id) else {
             return;
@@ -131,7 +139,7 @@
         if !is_wanted || keeping.gangs_left == 0 || count > keeping.workers_left {
             return;
         }
-        let bounds = headroom::bounds_of(candidate, spec, room);
+        let bounds = headroom::constraints_for(candidate, spec, room);
         let slots = &mut room.slots;
         let outlooks = keeping
             .outlooks
@@ -198,7 +206,7 @@
     outlooks: &[Outlook],
     spec: &StepSpec,
     count: usize,
-    bounds: &Bounds,
+    bounds: &PlacementConstraints,
 ) -> Option<Kept> {
     let fits: Vec<Vec<DurationMs>> = slots
         .iter()
@@ -208,7 +216,7 @@
     if !spec.wants_same_rack {
         return pick(&fits, 0..slots.len(), count);
     }
-    racks(slots)
+    rack_ranges(slots)
         .filter_map(|within| pick(&fits, within, count))
         .min_by_key(|kept| kept.ready_ms)
 }
@@ -234,21 +242,21 @@
     outlook: &Outlook,
     spec: &StepSpec,
     count: usize,
-    bounds: &Bounds,
+    bounds: &PlacementConstraints,
 ) -> Vec<DurationMs> {
     let mut slot = slot.clone();
     let mut times = Vec::new();
     let mut at = DurationMs(0);
     let mut ends = outlook.iter();
     loop {
-        while times.len() < count && slot.room(spec, bounds) > 0 {
-            slot.take(spec.demand());
+        while times.len() < count && slot.placeable_tasks(spec, bounds) > 0 {
+            slot.allocate(spec.demand());
             times.push(at);
         }
         match ends.next() {
             Some((end, need)) if times.len() < count => {
                 at = *end;
-                slot.give_back(*need);
+                slot.release(*need);
             }
             _ => return times,
         }
--- a/ragwortwick-area/src/run_ends.rs
+++ b/ragwortwick-area/src/run_ends.rs
@@ -99,7 +99,7 @@
             RunOutcome::NoVerdict | RunOutcome::Lost(_) => {}
         }
         if outcome == RunOutcome::Done {
-            self.compare_duration_at_end(now, worker_name, task, &held);
+            self.compare_final_duration(now, worker_name, task, &held);
         }
         let attempts = self.max_attempts(&task.job_id);
         let Some(job) = self.jobs.get_mut(&task.job_id) else {
@@ -236,6 +236,6 @@
         }
         self.reconcile_running(now, worker_name, sent_at, &look.running);
         self.hear_progress(now, worker_name, look);
-        self.share(now, worker_name);
+        self.pace_fillers(now, worker_name);
     }
 }
--- a/ragwortwick-area/src/speed.rs
+++ b/ragwortwick-area/src/speed.rs
@@ -63,11 +63,11 @@
     pub(crate) fn speed(&self) -> Speed {
         let log_ratio = self.log_sum / (self.samples + PRIOR_SAMPLES);
         if log_ratio >= CRAWLING_LOG {
-            Speed::Crawling
+            Speed::VerySlow
         } else if log_ratio >= SLOW_LOG {
             Speed::Slow
         } else {
-            Speed::Usual
+            Speed::Normal
         }
     }
 }
@@ -125,7 +125,7 @@
 
     /// The same for a run that has ended before enough of it was seen. A member of a gang ends with the
     /// others, so its end tells nothing of its own worker.
-    pub(crate) fn compare_duration_at_end(
+    pub(crate) fn compare_final_duration(
         &mut self,
         now: TimeMs,
         worker_name: &WorkerName,
--- a/ragwortwick-area/src/starts.rs
+++ b/ragwortwick-area/src/starts.rs
@@ -197,7 +197,7 @@
                     job.accounting.confirmed(now);
                     job.backoff.accepted();
                 }
-                self.share(now, worker_name);
+                self.pace_fillers(now, worker_name);
             }
             OrderReply::Unknown => {
                 held.phase = AllocationPhase::StartSent {
@@ -221,7 +221,7 @@
                     job.backoff.refused(now);
                 }
                 if cause == RefusalCause::NoTicket {
-                    self.advice.drop_ticket(worker_name, task);
+                    self.advice.discard_ticket(worker_name, task);
                 }
                 if is_first_try {
                     self.end_run(now, worker_name, task, run, RunOutcome::NoVerdict);
--- a/ragwortwick-area/src/value.rs
+++ b/ragwortwick-area/src/value.rs
@@ -19,62 +19,62 @@
 )]
 const CORES_PER_ACCELERATOR_AS_FLOAT: f64 = CORES_PER_ACCELERATOR as f64;
 
-/// `Standing` is how a job's open occurrence ranks among others.
+/// `OccurrenceValue` is how a job's open occurrence ranks among others.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Standing {
+pub(crate) struct OccurrenceValue {
     /// Worth for each accelerator-second that is still to be spent.
-    pub(crate) density: f64,
+    pub(crate) value_density: f64,
     /// Worth of the whole job if it is in time.
-    pub(crate) worth: f64,
+    pub(crate) value: f64,
     /// Whether it can still be of any worth to its caller.
-    pub(crate) has_hope: bool,
+    pub(crate) has_value_left: bool,
     /// Whether it can still make its objective.
-    pub(crate) is_in_time: bool,
+    pub(crate) can_meet_objective: bool,
 }
 
 impl Coordinator {
     /// Ranks one occurrence of a job by worth over the accelerator time that it still needs.
-    pub(crate) fn standing(
+    pub(crate) fn occurrence_value(
         &self,
         now: TimeMs,
         job: &JobState,
         occurrence: usize,
         due_at: TimeMs,
-    ) -> Standing {
+    ) -> OccurrenceValue {
         let terms = self.queue_policy(job);
         let steps = &job.occurrences[occurrence];
         let rest_ms = rest_of_chain_ms(job, steps);
         let objective_ms = terms.objective_ms(job.record.critical_path_ms());
         let ready_at = now + rest_ms;
         let late_at = due_at + objective_ms.scaled(LATE_LIMIT);
-        let is_in_time = ready_at <= due_at + objective_ms;
-        let has_hope = ready_at <= late_at;
+        let can_meet_objective = ready_at <= due_at + objective_ms;
+        let has_value_left = ready_at <= late_at;
         let weights = &self.limits.weights;
-        let share = if is_in_time {
+        let share = if can_meet_objective {
             1.0
-        } else if has_hope {
+        } else if has_value_left {
             weights.late_share
         } else {
             HOPELESS_SHARE
         };
         let spent = rest_of_work(job, steps).max(1.0);
-        let whole = whole_work(job).max(1.0);
+        let whole = total_work(job).max(1.0);
         // The worth grows with the whole job's work, at seven tenths of it.
         let mean = self.mean_work(&job.record.queue).unwrap_or(whole);
-        let worth = weights.of(terms.priority) * (0.3 + 0.7 * whole / mean).min(4.0);
-        Standing {
-            density: worth * share / spent,
-            worth,
-            has_hope,
-            is_in_time,
+        let value = weights.of(terms.priority) * (0.3 + 0.7 * whole / mean).min(4.0);
+        OccurrenceValue {
+            value_density: value * share / spent,
+            value,
+            has_value_left,
+            can_meet_objective,
         }
     }
 
     /// Worth of a core-second, an accelerator counted in cores: all that came in, over what it takes.
     ///
     /// What is thrown away takes as much room a second time, and other work would have had it.
-    pub(crate) fn worth_of_core_second(&self) -> f64 {
-        let mut worth = 0.0;
+    pub(crate) fn value_per_core_second(&self) -> f64 {
+        let mut value = 0.0;
         let mut work = 0.0;
         for (queue, (sum, count)) in &self.submitted_work {
             let priority = self
@@ -82,10 +82,10 @@
                 .queues
                 .get(queue)
                 .map_or(0, |q| q.policy.priority);
-            worth += self.limits.weights.of(priority) * f64::from(*count);
+            value += self.limits.weights.of(priority) * f64::from(*count);
             work += sum * CORES_PER_ACCELERATOR_AS_FLOAT;
         }
-        if work > 0.0 { worth / work } else { 0.0 }
+        if work > 0.0 { value / work } else { 0.0 }
     }
 
     fn mean_work(&self, queue: &ragwortwick_core::ClassName) -> Option<f64> {
@@ -133,7 +133,7 @@
 }
 
 /// Accelerator-seconds of one whole occurrence.
-pub(crate) fn whole_work(job: &JobState) -> f64 {
+pub(crate) fn total_work(job: &JobState) -> f64 {
     job.record
         .steps
         .iter()
--- a/ragwortwick-area/src/worker.rs
+++ b/ragwortwick-area/src/worker.rs
@@ -10,7 +10,7 @@
 use crate::limits::Limits;
 use crate::losses::{Silence, SilenceKind};
 use crate::messages::WorkerEntry;
-use crate::speed::SpeedRecord;
+use crate::speed::SpeedEstimate;
 
 /// Margin on the computed end of a worker's lease, for timers and scheduling delays.
 const LEASE_MARGIN_MS: DurationMs = DurationMs(400);
@@ -66,7 +66,7 @@
     /// Its runs hardly moved on when last seen: no new work goes there before.
     pub(crate) stalled_until: TimeMs,
     /// How fast it is against others.
-    pub(crate) speed: SpeedRecord,
+    pub(crate) speed: SpeedEstimate,
     /// Pace of the fillers here.
     pub(crate) filler_pace_percent: u32,
     /// When that changed last; none while nothing serves here.
@@ -93,7 +93,7 @@
             consecutive_failures: 0,
             avoid_until: TimeMs(0),
             stalled_until: TimeMs(0),
-            speed: SpeedRecord::default(),
+            speed: SpeedEstimate::default(),
             filler_pace_percent: 100,
             pace_changed_at: None,
         };
--- a/ragwortwick-cli/src/entry.rs
+++ b/ragwortwick-cli/src/entry.rs
@@ -5,7 +5,7 @@
 use http::{Method, StatusCode};
 use ragwortwick_border::{Problem, RequestRefusal, StoreAway};
 use ragwortwick_core::DurationMs;
-use ragwortwick_http::{HttpClient, HttpClientOptions, HttpError, HttpReply};
+use ragwortwick_http::{HttpClient, HttpClientOptions, HttpError, HttpResponse};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -50,7 +50,7 @@
         method: Method,
         path: &str,
         body: Option<Vec<u8>>,
-    ) -> Result<HttpReply, CliError> {
+    ) -> Result<HttpResponse, CliError> {
         let mut failures = Vec::new();
         for address in &self.addresses {
             let body = body.clone().map(Into::into);
@@ -85,7 +85,7 @@
 }
 
 /// `decode` reads a 2xx answer and turns any other into a sentence.
-pub(crate) fn decode<R: DeserializeOwned>(reply: &HttpReply) -> Result<R, CliError> {
+pub(crate) fn decode<R: DeserializeOwned>(reply: &HttpResponse) -> Result<R, CliError> {
     if !reply.status.is_success() {
         return Err(refusal(reply));
     }
@@ -93,7 +93,7 @@
 }
 
 /// `parse` reads an answer's body whatever its status.
-pub(crate) fn parse<R: DeserializeOwned>(reply: &HttpReply) -> Result<R, CliError> {
+pub(crate) fn parse<R: DeserializeOwned>(reply: &HttpResponse) -> Result<R, CliError> {
     serde_json::from_slice(&reply.body).map_err(|error| {
         CliError::new(
             ExitClass::Failed,
@@ -103,7 +103,7 @@
     })
 }
 
-fn refusal(reply: &HttpReply) -> CliError {
+fn refusal(reply: &HttpResponse) -> CliError {
     let text = reason(&reply.body);
     match reply.status {
         StatusCode::NOT_FOUND => CliError::new(ExitClass::NotFound, text, "check the name"),
--- a/ragwortwick-daemon/src/area/job_api.rs
+++ b/ragwortwick-daemon/src/area/job_api.rs
@@ -19,7 +19,7 @@
 };
 use ragwortwick_area::{DesiredState, JobRecord, Queue};
 use ragwortwick_core::{ClassName, CustomerName, DurationMs, JobId, TimeMs, log_event};
-use ragwortwick_http::{Refusal, json_response, read_bytes};
+use ragwortwick_http::{RequestError, json_response, read_bytes};
 use tokio::sync::watch;
 
 use super::desired_state_age::DesiredStateAge;
@@ -111,7 +111,7 @@
     }
     let Some(job_id) = parse_job_id(&call.rest) else {
         let expected = format!("expected {JOB_ID_DIGITS} hexadecimal digits");
-        return Refusal::new(StatusCode::BAD_REQUEST, "job_id", expected).into_response(state);
+        return RequestError::new(StatusCode::BAD_REQUEST, "job_id", expected).into_response(state);
     };
     match method {
         Method::POST => submit(front, state, call, job_id).await,
@@ -121,7 +121,7 @@
 }
 
 /// Refuses a call whose queue or customer is unknown here.
-fn refuse(front: &JobApi, state: &State, refusal: Refusal) -> Response<Body> {
+fn refuse(front: &JobApi, state: &State, refusal: RequestError) -> Response<Body> {
     let now = front.clock.now();
     if front.refusal_log_limiter.admit(now) {
         let desired = front.desired.borrow().clone();
@@ -143,12 +143,12 @@
     }
 }
 
-fn identify(front: &JobApi, state: &State) -> Result<Call, Refusal> {
+fn identify(front: &JobApi, state: &State) -> Result<Call, RequestError> {
     let arrived_at = front.clock.now();
     let headers = HeaderMap::borrow_from(state);
     let uri = Uri::borrow_from(state);
     let Some(desired) = front.desired.borrow().clone() else {
-        return Err(Refusal::new(
+        return Err(RequestError::new(
             StatusCode::SERVICE_UNAVAILABLE,
             "desired_state",
             "this host has not read the desired state yet",
@@ -157,7 +157,7 @@
     let host = text_of(headers, header::HOST).unwrap_or_default();
     let host = host.split(':').next().unwrap_or_default();
     let Some((queue_name, queue)) = desired.route(host, uri.path()) else {
-        return Err(Refusal::new(
+        return Err(RequestError::new(
             StatusCode::NOT_FOUND,
             "path",
             "no queue has this host and prefix",
@@ -169,7 +169,7 @@
         Some(customer) => customer.clone(),
         None if queue.is_public => CustomerName::new(""),
         None => {
-            return Err(Refusal::new(
+            return Err(RequestError::new(
                 StatusCode::UNAUTHORIZED,
                 "authorization",
                 "no customer holds this key",
@@ -214,7 +214,7 @@
                 customer = call.customer,
                 cause = text
             );
-            return Refusal::new(StatusCode::BAD_REQUEST, "body", text).into_response(state);
+            return RequestError::new(StatusCode::BAD_REQUEST, "body", text).into_response(state);
         }
     };
     let record = JobRecord {
@@ -236,7 +236,8 @@
             customer = call.customer,
             cause = text
         );
-        return Refusal::new(StatusCode::BAD_REQUEST, error.field(), text).into_response(state);
+        return RequestError::new(StatusCode::BAD_REQUEST, error.field(), text)
+            .into_response(state);
     }
     let begun_at = front.clock.now();
     let steps = record.steps_summary();
@@ -291,18 +292,19 @@
     match outcome {
         WriteOutcome::Stored => json_response(state, StatusCode::OK, &serde_json::json!({})),
         WriteOutcome::NoSuchJob => {
-            Refusal::new(StatusCode::GONE, "job_id", "no such job").into_response(state)
+            RequestError::new(StatusCode::GONE, "job_id", "no such job").into_response(state)
         }
         WriteOutcome::NotStored(cause) => come_back(state, cause),
         WriteOutcome::Unknown(cause) => {
-            Refusal::new(StatusCode::GATEWAY_TIMEOUT, "store", cause.as_str()).into_response(state)
+            RequestError::new(StatusCode::GATEWAY_TIMEOUT, "store", cause.as_str())
+                .into_response(state)
         }
     }
 }
 
 /// Refuses a call that has not been carried out, and says when to try again.
 fn come_back(state: &State, cause: &str) -> Response<Body> {
-    let refusal = Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "store", cause);
+    let refusal = RequestError::new(StatusCode::SERVICE_UNAVAILABLE, "store", cause);
     let mut response = refusal.into_response(state);
     let value = HeaderValue::from(RETRY_AFTER_S);
     response.headers_mut().insert(header::RETRY_AFTER, value);
--- a/ragwortwick-daemon/src/http/caller.rs
+++ b/ragwortwick-daemon/src/http/caller.rs
@@ -7,7 +7,7 @@
 use http::{HeaderValue, Response, StatusCode, Uri, header};
 use ragwortwick_border::{RefusalVerdict, RequestOutcome, RequestRefusal, RequestSubmit};
 use ragwortwick_core::DurationMs;
-use ragwortwick_http::{Refusal, json_response, read_json};
+use ragwortwick_http::{RequestError, json_response, read_json};
 
 use super::RouteBuilder;
 use crate::requests::IdsRefused;
@@ -29,7 +29,7 @@
     };
     if let Err(problem) = app.requests.check(&request) {
         let status = StatusCode::BAD_REQUEST;
-        return Ok(Refusal { status, problem }.into_response(state));
+        return Ok(RequestError { status, problem }.into_response(state));
     }
     let response = match app.requests.submit(request, false).await {
         RequestOutcome::Answered(answer) => json_response(state, StatusCode::OK, &answer),
@@ -47,7 +47,8 @@
     let response = match count {
         Ok(ids) => json_response(state, StatusCode::OK, &ids),
         Err(error @ IdsRefused::Count) => {
-            Refusal::new(StatusCode::BAD_REQUEST, "count", error.to_string()).into_response(state)
+            RequestError::new(StatusCode::BAD_REQUEST, "count", error.to_string())
+                .into_response(state)
         }
         Err(error @ IdsRefused::Stopping) => {
             let refusal = RequestRefusal {
--- a/ragwortwick-daemon/src/http/jobs.rs
+++ b/ragwortwick-daemon/src/http/jobs.rs
@@ -9,7 +9,7 @@
 use http::{HeaderValue, Response, StatusCode, header};
 use ragwortwick_border::{JobSubmit, RefusalVerdict, RequestRefusal};
 use ragwortwick_core::{DurationMs, JobId};
-use ragwortwick_http::{Refusal, json_response, read_json};
+use ragwortwick_http::{RequestError, json_response, read_json};
 use serde::{Deserialize, Serialize};
 
 use super::RouteBuilder;
@@ -61,7 +61,7 @@
     let after = query.after.map(JobId::new);
     let Ok(limit) = query.limit.as_deref().map(str::parse).transpose() else {
         let expected = "expected a whole number of jobs, at least 1";
-        let refusal = Refusal::new(StatusCode::BAD_REQUEST, "limit", expected);
+        let refusal = RequestError::new(StatusCode::BAD_REQUEST, "limit", expected);
         return Ok(refusal.into_response(state));
     };
     let limit = limit.unwrap_or(DEFAULT_PAGE);
@@ -96,7 +96,7 @@
     match error {
         JobError::Invalid(problem) => json_response(state, StatusCode::BAD_REQUEST, &problem),
         JobError::Unknown => {
-            Refusal::new(StatusCode::NOT_FOUND, "job_id", reason).into_response(state)
+            RequestError::new(StatusCode::NOT_FOUND, "job_id", reason).into_response(state)
         }
         JobError::NotRun { retry_after_ms, .. } => {
             let refusal = refuse(RefusalVerdict::NotRun, reason, Some(retry_after_ms));
--- a/ragwortwick-daemon/src/http/operator.rs
+++ b/ragwortwick-daemon/src/http/operator.rs
@@ -7,7 +7,7 @@
 use gotham::state::State;
 use http::StatusCode;
 use ragwortwick_border::{Table, TableAccept, TableAcceptReply};
-use ragwortwick_http::{Refusal, json_response, read_json};
+use ragwortwick_http::{RequestError, json_response, read_json};
 use serde::Deserialize;
 
 use super::RouteBuilder;
@@ -47,7 +47,7 @@
     if let Some(table) = current {
         return Ok(json_response(state, StatusCode::OK, table.as_ref()));
     }
-    let refusal = Refusal::new(
+    let refusal = RequestError::new(
         StatusCode::NOT_FOUND,
         "table",
         "no table is in force on this host yet",
@@ -86,7 +86,7 @@
 }
 
 /// The history must name who accepted and why, and a repeat is told by its nonce.
-fn check_signature(accept: &TableAccept) -> Result<(), Refusal> {
+fn check_signature(accept: &TableAccept) -> Result<(), RequestError> {
     let texts = [
         ("accepted_by", &accept.accepted_by),
         ("reason", &accept.reason),
@@ -94,7 +94,7 @@
     ];
     for (field, text) in texts {
         if text.trim().is_empty() {
-            return Err(Refusal::new(
+            return Err(RequestError::new(
                 StatusCode::BAD_REQUEST,
                 field,
                 "expected a text that is not empty",
--- a/ragwortwick-daemon/tests/area_catch_up.rs
+++ b/ragwortwick-daemon/tests/area_catch_up.rs
@@ -1,7 +1,7 @@
 //! Hosts that were away from the store find their way back, on a path that carries little.
 
 use http::{Method, StatusCode, header};
-use ragwortwick_http::HttpReply;
+use ragwortwick_http::HttpResponse;
 use ragwortwick_standin::{AreaFleet, RelayMode, StoreFault, area_job, desired, wait_until};
 use serde_json::{Value, json};
 
@@ -171,7 +171,7 @@
     assert_eq!(status.ok(), Some(StatusCode::OK));
     fleet.wait_for_state(0, id, "completed").await;
     fleet.set_store_path(0, RelayMode::Cut);
-    let comes_back = |reply: &HttpReply| {
+    let comes_back = |reply: &HttpResponse| {
         let is_told_when = reply.headers.contains_key(header::RETRY_AFTER);
         reply.status == StatusCode::SERVICE_UNAVAILABLE && is_told_when
     };
--- a/ragwortwick-daemon/tests/e2e_store_jobs.rs
+++ b/ragwortwick-daemon/tests/e2e_store_jobs.rs
@@ -3,7 +3,7 @@
 use http::StatusCode;
 use ragwortwick_border::{JobPhase, JobSubmit};
 use ragwortwick_core::DurationMs;
-use ragwortwick_http::HttpReply;
+use ragwortwick_http::HttpResponse;
 use ragwortwick_standin::{Faults, Fleet, FleetOptions, LogEvent, sample_job, wait_until};
 
 async fn open_fleet() -> Fleet {
@@ -19,7 +19,7 @@
     }
 }
 
-async fn submit(fleet: &Fleet, index: usize, job: &JobSubmit) -> HttpReply {
+async fn submit(fleet: &Fleet, index: usize, job: &JobSubmit) -> HttpResponse {
     let body = serde_json::to_vec(job).expect("a job is JSON");
     let address = fleet.address(index);
     let http = fleet.caller.http();
--- a/ragwortwick-daemon/tests/operators_bad_input.rs
+++ b/ragwortwick-daemon/tests/operators_bad_input.rs
@@ -4,7 +4,7 @@
 use ragwortwick_border::Problem;
 use ragwortwick_core::DurationMs;
 use ragwortwick_daemon::{Daemon, Settings};
-use ragwortwick_http::{HttpClient, HttpClientOptions, HttpReply};
+use ragwortwick_http::{HttpClient, HttpClientOptions, HttpResponse};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
@@ -22,7 +22,7 @@
     Daemon::spawn(settings).await.expect("daemon")
 }
 
-async fn post(daemon: &Daemon, path: &str, body: &str) -> HttpReply {
+async fn post(daemon: &Daemon, path: &str, body: &str) -> HttpResponse {
     let address = daemon.address().to_string();
     let body = Some(body.to_owned().into());
     HttpClient::new(&HttpClientOptions::default())
@@ -31,7 +31,7 @@
         .expect("an answer")
 }
 
-fn field(reply: &HttpReply) -> String {
+fn field(reply: &HttpResponse) -> String {
     let problem: Problem = serde_json::from_slice(&reply.body).expect("a problem");
     assert!(!problem.problem.is_empty());
     problem.field
--- a/ragwortwick-http/src/client.rs
+++ b/ragwortwick-http/src/client.rs
@@ -14,7 +14,7 @@
 use serde::de::DeserializeOwned;
 use tokio::time::timeout;
 
-use crate::response_body::{AnswerLimits, BodyFailure, read_body};
+use crate::response_body::{BodyError, ResponseTimeouts, read_body};
 
 /// `HttpClientOptions` sets the bounds of a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -50,7 +50,7 @@
         is_closed: bool,
     },
     /// no whole answer from {address}: {cause}
-    NoAnswer {
+    NoResponse {
         /// Whom it was sent to.
         address: String,
         /// What failed.
@@ -68,7 +68,7 @@
         body: String,
     },
     /// too long an answer from {address}: {cause}
-    TooLong {
+    TooLarge {
         /// Who answered.
         address: String,
         /// The bound that it is beyond.
@@ -96,15 +96,15 @@
     #[must_use]
     pub fn is_closed(&self) -> bool {
         match self {
-            Self::NotSent { is_closed, .. } | Self::NoAnswer { is_closed, .. } => *is_closed,
-            Self::Status { .. } | Self::TooLong { .. } | Self::Malformed { .. } => false,
+            Self::NotSent { is_closed, .. } | Self::NoResponse { is_closed, .. } => *is_closed,
+            Self::Status { .. } | Self::TooLarge { .. } | Self::Malformed { .. } => false,
         }
     }
 }
 
-/// `HttpReply` is a whole answer.
+/// `HttpResponse` is a whole answer.
 #[derive(Clone, Debug)]
-pub struct HttpReply {
+pub struct HttpResponse {
     /// Status code.
     pub status: StatusCode,
     /// Header fields.
@@ -113,17 +113,17 @@
     pub body: Bytes,
 }
 
-/// `Fetched` is the answer to a conditional read.
+/// `ConditionalResponse` is the answer to a conditional read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fetched<R> {
+pub enum ConditionalResponse<R> {
     /// Nothing changed since the answer that the tag names.
-    Unchanged,
+    NotModified,
     /// The whole answer.
-    Whole {
+    Modified {
         /// What was read.
         value: R,
         /// Names this answer in the next read, if the server gives tags.
-        tag: Option<String>,
+        etag: Option<String>,
     },
 }
 
@@ -156,7 +156,7 @@
     ///
     /// # Errors
     ///
-    /// Fails with `NotSent` if no byte can have arrived, else with `NoAnswer`.
+    /// Fails with `NotSent` if no byte can have arrived, else with `NoResponse`.
     pub async fn send(
         &self,
         method: Method,
@@ -164,7 +164,7 @@
         path: &str,
         body: Option<Bytes>,
         timeout_ms: DurationMs,
-    ) -> Result<HttpReply, HttpError> {
+    ) -> Result<HttpResponse, HttpError> {
         self.send_with(method, address, path, &[], body, timeout_ms)
             .await
     }
@@ -173,7 +173,7 @@
     ///
     /// # Errors
     ///
-    /// As `send`; with `TooLong` for a body beyond the client's bound.
+    /// As `send`; with `TooLarge` for a body beyond the client's bound.
     pub async fn send_with(
         &self,
         method: Method,
@@ -181,8 +181,8 @@
         path: &str,
         headers: &[(&str, &str)],
         body: Option<Bytes>,
-        limits: impl Into<AnswerLimits>,
-    ) -> Result<HttpReply, HttpError> {
+        limits: impl Into<ResponseTimeouts>,
+    ) -> Result<HttpResponse, HttpError> {
         let mut request = Request::builder()
             .method(method)
             .uri(format!("http://{address}{path}"))
@@ -199,8 +199,8 @@
         address: &str,
         request: http::request::Builder,
         body: Bytes,
-        limits: AnswerLimits,
-    ) -> Result<HttpReply, HttpError> {
+        limits: ResponseTimeouts,
+    ) -> Result<HttpResponse, HttpError> {
         let request = request
             .body(Full::new(body))
             .map_err(|e| HttpError::NotSent {
@@ -208,17 +208,17 @@
                 cause: e.to_string(),
                 is_closed: false,
             })?;
-        let no_answer = |cause: String, is_closed: bool| HttpError::NoAnswer {
+        let no_response = |cause: String, is_closed: bool| HttpError::NoResponse {
             address: address.to_owned(),
             cause,
             is_closed,
         };
         let late =
-            |limit_ms: DurationMs| no_answer(format!("no answer within {limit_ms} ms"), false);
+            |limit_ms: DurationMs| no_response(format!("no answer within {limit_ms} ms"), false);
         let exchange = async {
-            let response = timeout(limits.head_ms.into(), self.inner.request(request));
+            let response = timeout(limits.head_timeout_ms.into(), self.inner.request(request));
             let Ok(response) = response.await else {
-                return Err(late(limits.head_ms));
+                return Err(late(limits.head_timeout_ms));
             };
             let response = response.map_err(|e| {
                 if e.is_connect() {
@@ -228,27 +228,27 @@
                         is_closed: is_closed_by_peer(&e),
                     }
                 } else {
-                    no_answer(describe(&e), is_closed_by_peer(&e))
+                    no_response(describe(&e), is_closed_by_peer(&e))
                 }
             })?;
             let (head, body) = response.into_parts();
-            let body = read_body(body, self.max_body_bytes, limits.pause_ms);
+            let body = read_body(body, self.max_body_bytes, limits.idle_timeout_ms);
             let body = body.await.map_err(|failure| match failure {
-                BodyFailure::TooLong(_) => HttpError::TooLong {
+                BodyError::TooLarge(_) => HttpError::TooLarge {
                     address: address.to_owned(),
                     cause: failure.to_string(),
                 },
-                _ => no_answer(failure.to_string(), false),
+                _ => no_response(failure.to_string(), false),
             })?;
-            Ok(HttpReply {
+            Ok(HttpResponse {
                 status: head.status,
                 headers: head.headers,
                 body,
             })
         };
-        timeout(limits.whole_ms.into(), exchange)
+        timeout(limits.total_timeout_ms.into(), exchange)
             .await
-            .unwrap_or_else(|_| Err(late(limits.whole_ms)))
+            .unwrap_or_else(|_| Err(late(limits.total_timeout_ms)))
     }
 
     /// `post` sends a JSON body and reads a JSON answer of status 2xx.
@@ -291,41 +291,41 @@
         decode(address, &reply)
     }
 
-    /// `get_changed` reads a JSON answer unless it is still the one that `known_tag` names.
+    /// `get_if_modified` reads a JSON answer unless it is still the one that `known_etag` names.
     ///
     /// The tag is the `ETag` of an earlier answer; a server without tags sends the whole each time.
     ///
     /// # Errors
     ///
     /// As `post`.
-    pub async fn get_changed<R: DeserializeOwned>(
+    pub async fn get_if_modified<R: DeserializeOwned>(
         &self,
         address: &str,
         path: &str,
-        known_tag: Option<&str>,
+        known_etag: Option<&str>,
         timeout_ms: DurationMs,
-    ) -> Result<Fetched<R>, HttpError> {
+    ) -> Result<ConditionalResponse<R>, HttpError> {
         let mut request = Request::builder()
             .method(Method::GET)
             .uri(format!("http://{address}{path}"));
-        if let Some(tag) = known_tag {
-            request = request.header(header::IF_NONE_MATCH, tag);
+        if let Some(etag) = known_etag {
+            request = request.header(header::IF_NONE_MATCH, etag);
         }
         let reply = self
             .exchange(address, request, Bytes::new(), timeout_ms.into())
             .await?;
         if reply.status == StatusCode::NOT_MODIFIED {
-            return Ok(Fetched::Unchanged);
+            return Ok(ConditionalResponse::NotModified);
         }
-        let tag = reply.headers.get(header::ETAG);
-        Ok(Fetched::Whole {
+        let etag = reply.headers.get(header::ETAG);
+        Ok(ConditionalResponse::Modified {
             value: decode(address, &reply)?,
-            tag: tag.and_then(|tag| tag.to_str().ok()).map(str::to_owned),
+            etag: etag.and_then(|etag| etag.to_str().ok()).map(str::to_owned),
         })
     }
 }
 
-fn decode<R: DeserializeOwned>(address: &str, reply: &HttpReply) -> Result<R, HttpError> {
+fn decode<R: DeserializeOwned>(address: &str, reply: &HttpResponse) -> Result<R, HttpError> {
     if !reply.status.is_success() {
         return Err(HttpError::Status {
             address: address.to_owned(),
--- a/ragwortwick-http/src/json.rs
+++ b/ragwortwick-http/src/json.rs
@@ -20,16 +20,16 @@
 #[derive(Clone, Copy, Debug, StateData)]
 pub(crate) struct BodyTimeout(pub(crate) DurationMs);
 
-/// `Refusal` is a 4xx answer that names the field at fault.
+/// `RequestError` is a 4xx answer that names the field at fault.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Refusal {
+pub struct RequestError {
     /// Status code.
     pub status: StatusCode,
     /// Body of the answer.
     pub problem: Problem,
 }
 
-impl Refusal {
+impl RequestError {
     /// `new` names the field and what was expected.
     pub fn new(status: StatusCode, field: impl Into<String>, problem: impl Into<String>) -> Self {
         Self {
@@ -42,7 +42,7 @@
     }
 }
 
-impl IntoResponse for Refusal {
+impl IntoResponse for RequestError {
     fn into_response(self, state: &State) -> Response<Body> {
         json_response(state, self.status, &self.problem)
     }
@@ -69,7 +69,7 @@
 pub async fn read_json<T: DeserializeOwned>(
     state: &mut State,
     max_bytes: usize,
-) -> Result<T, Refusal> {
+) -> Result<T, RequestError> {
     let bytes = read_bytes(state, max_bytes).await?;
     parse(&bytes)
 }
@@ -79,22 +79,26 @@
 /// # Errors
 ///
 /// Fails with 413 for an oversized body, 408 for one that does not end in time, and 400 for one that breaks off.
-pub async fn read_bytes(state: &mut State, max_bytes: usize) -> Result<Bytes, Refusal> {
+pub async fn read_bytes(state: &mut State, max_bytes: usize) -> Result<Bytes, RequestError> {
     let limit_ms = BodyTimeout::try_borrow_from(state).map_or(BODY_TIMEOUT_MS, |limit| limit.0);
     let body = Body::take_from(state);
     let body = Limited::new(body, max_bytes).collect();
     // A caller that never ends its body would hold what it sent so far, and its connection, for good.
     let Ok(body) = timeout(limit_ms.into(), body).await else {
         let text = format!("expected whole within {limit_ms} ms");
-        return Err(Refusal::new(StatusCode::REQUEST_TIMEOUT, "body", text));
+        return Err(RequestError::new(StatusCode::REQUEST_TIMEOUT, "body", text));
     };
     match body {
         Ok(collected) => Ok(collected.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => {
             let text = format!("expected at most {max_bytes} bytes");
-            Err(Refusal::new(StatusCode::PAYLOAD_TOO_LARGE, "body", text))
+            Err(RequestError::new(
+                StatusCode::PAYLOAD_TOO_LARGE,
+                "body",
+                text,
+            ))
         }
-        Err(error) => Err(Refusal::new(
+        Err(error) => Err(RequestError::new(
             StatusCode::BAD_REQUEST,
             "body",
             error.to_string(),
@@ -102,14 +106,14 @@
     }
 }
 
-fn parse<T: DeserializeOwned>(bytes: &Bytes) -> Result<T, Refusal> {
+fn parse<T: DeserializeOwned>(bytes: &Bytes) -> Result<T, RequestError> {
     let mut reader = serde_json::Deserializer::from_slice(bytes);
     let value = serde_path_to_error::deserialize(&mut reader).map_err(|error| {
         let path = error.path().to_string();
         // The whole value reads as `.`, a place that the reader could not name as `?`.
         let is_nameless = matches!(path.as_str(), "." | "?");
         let field = if is_nameless { "body".to_owned() } else { path };
-        Refusal::new(
+        RequestError::new(
             StatusCode::BAD_REQUEST,
             field,
             error.into_inner().to_string(),
@@ -117,6 +121,6 @@
     })?;
     reader
         .end()
-        .map_err(|e| Refusal::new(StatusCode::BAD_REQUEST, "body", e.to_string()))?;
+        .map_err(|e| RequestError::new(StatusCode::BAD_REQUEST, "body", e.to_string()))?;
     Ok(value)
 }
--- a/ragwortwick-http/src/lib.rs
+++ b/ragwortwick-http/src/lib.rs
@@ -6,7 +6,7 @@
 mod server;
 mod write_timeout;
 
-pub use client::{Fetched, HttpClient, HttpClientOptions, HttpError, HttpReply};
-pub use json::{Refusal, json_response, read_bytes, read_json};
-pub use response_body::AnswerLimits;
+pub use client::{ConditionalResponse, HttpClient, HttpClientOptions, HttpError, HttpResponse};
+pub use json::{RequestError, json_response, read_bytes, read_json};
+pub use response_body::ResponseTimeouts;
 pub use server::{Server, ServerOptions};
--- a/ragwortwick-http/src/server.rs
+++ b/ragwortwick-http/src/server.rs
@@ -19,7 +19,7 @@
 use tokio::task::JoinHandle;
 
 use crate::json::{BODY_TIMEOUT_MS, BodyTimeout};
-use crate::write_timeout::StallGuard;
+use crate::write_timeout::WriteTimeoutStream;
 
 /// `ServerOptions` sets the bounds of a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -36,7 +36,7 @@
     /// Longest time for a request's body to be whole.
     pub body_timeout_ms: DurationMs,
     /// Longest time for a caller to take no byte of its answer.
-    pub stall_timeout_ms: DurationMs,
+    pub write_timeout_ms: DurationMs,
 }
 
 impl Default for ServerOptions {
@@ -46,7 +46,7 @@
             max_header_bytes: 16 << 10,
             header_timeout_ms: DurationMs(75_000),
             body_timeout_ms: BODY_TIMEOUT_MS,
-            stall_timeout_ms: DurationMs(20_000),
+            write_timeout_ms: DurationMs(20_000),
         }
     }
 }
@@ -124,7 +124,7 @@
         };
         // Small answers must not wait for more bytes; without the option the answer is only later.
         drop(socket.set_nodelay(true));
-        let socket = StallGuard::new(socket, options.stall_timeout_ms.into());
+        let socket = WriteTimeoutStream::new(socket, options.write_timeout_ms.into());
         let handling = Handling {
             router: router.clone(),
             peer,
@@ -146,7 +146,7 @@
 fn serve(
     builder: &Builder<TokioExecutor>,
     graceful: &GracefulShutdown,
-    socket: StallGuard,
+    socket: WriteTimeoutStream,
     handling: Handling,
     permit: OwnedSemaphorePermit,
 ) {
--- a/ragwortwick-http/src/write_timeout.rs
+++ b/ragwortwick-http/src/write_timeout.rs
@@ -9,18 +9,18 @@
 use tokio::net::TcpStream;
 use tokio::time::{Sleep, sleep};
 
-/// `StallGuard` ends a connection whose caller has stopped reading.
+/// `WriteTimeoutStream` ends a connection whose caller has stopped reading.
 ///
 /// Such a caller holds its answer, its connection and, at a planned stop, the whole process for as
 /// long as it likes. Each byte that it takes starts the time anew, so slow callers are served.
 #[derive(Debug)]
-pub(crate) struct StallGuard {
+pub(crate) struct WriteTimeoutStream {
     socket: TcpStream,
     limit: Duration,
     stalled: Option<Pin<Box<Sleep>>>,
 }
 
-impl StallGuard {
+impl WriteTimeoutStream {
     pub(crate) fn new(socket: TcpStream, limit: Duration) -> Self {
         Self {
             socket,
@@ -47,7 +47,7 @@
     }
 }
 
-impl AsyncRead for StallGuard {
+impl AsyncRead for WriteTimeoutStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -57,7 +57,7 @@
     }
 }
 
-impl AsyncWrite for StallGuard {
+impl AsyncWrite for WriteTimeoutStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/ragwortwick-http/tests/http_bounds.rs
+++ b/ragwortwick-http/tests/http_bounds.rs
@@ -11,8 +11,8 @@
 use ragwortwick_border::{Problem, Shape};
 use ragwortwick_core::DurationMs;
 use ragwortwick_http::{
-    AnswerLimits, HttpClient, HttpClientOptions, HttpError, Server, ServerOptions, json_response,
-    read_json,
+    HttpClient, HttpClientOptions, HttpError, ResponseTimeouts, Server, ServerOptions,
+    json_response, read_json,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -114,7 +114,7 @@
         .get::<Shape>(&address, "/", TIMEOUT_MS)
         .await
         .expect_err("the answer is cut");
-    assert!(matches!(error, HttpError::NoAnswer { .. }), "{error}");
+    assert!(matches!(error, HttpError::NoResponse { .. }), "{error}");
     other_end.await.expect("the other end ended");
 }
 
@@ -159,16 +159,16 @@
     let (address, other_end) =
         answers_and_falls_silent(b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\n0123456789").await;
     let client = HttpClient::new(&HttpClientOptions::default());
-    let limits = AnswerLimits {
-        head_ms: TIMEOUT_MS,
-        pause_ms: DurationMs(100),
-        whole_ms: DurationMs(3_600_000),
+    let limits = ResponseTimeouts {
+        head_timeout_ms: TIMEOUT_MS,
+        idle_timeout_ms: DurationMs(100),
+        total_timeout_ms: DurationMs(3_600_000),
     };
     let error = client
         .send_with(http::Method::GET, &address, "/", &[], None, limits)
         .await
         .expect_err("the answer stops");
-    assert!(matches!(error, HttpError::NoAnswer { .. }), "{error}");
+    assert!(matches!(error, HttpError::NoResponse { .. }), "{error}");
     assert!(error.to_string().contains("nothing more came"), "{error}");
     assert!(!error.is_closed(), "{error}");
     drop(client);
@@ -188,7 +188,7 @@
         .get::<Shape>(&address, "/", TIMEOUT_MS)
         .await
         .expect_err("the answer is too long");
-    assert!(matches!(error, HttpError::TooLong { .. }), "{error}");
+    assert!(matches!(error, HttpError::TooLarge { .. }), "{error}");
     drop(client);
     other_end.await.expect("the other end ended");
 }
@@ -248,7 +248,7 @@
     // The operator sees the server end. A caller asks for a large answer and takes nothing of it;
     // without a bound the close would wait for this caller for good.
     let options = ServerOptions {
-        stall_timeout_ms: DurationMs(200),
+        write_timeout_ms: DurationMs(200),
         ..ServerOptions::default()
     };
     let router = build_simple_router(|route| route.get("/large").to_async_borrowing(large));
--- a/ragwortwick-platform/src/host_list.rs
+++ b/ragwortwick-platform/src/host_list.rs
@@ -4,7 +4,7 @@
 
 use ragwortwick_border::HostList;
 use ragwortwick_core::{DurationMs, TimeMs, log_event};
-use ragwortwick_http::{Fetched, HttpClient, HttpClientOptions};
+use ragwortwick_http::{ConditionalResponse, HttpClient, HttpClientOptions};
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
@@ -78,21 +78,21 @@
     let mut has_failed = false;
     // The list grows with the fleet and rarely changes: read whole each second it would cost an
     // entry host more bytes than all its other control traffic together.
-    let mut known_tag: Option<String> = None;
+    let mut known_etag: Option<String> = None;
     loop {
         let answer = http
-            .get_changed::<HostList>(
+            .get_if_modified::<HostList>(
                 &options.address,
                 "/v1/hosts",
-                known_tag.as_deref(),
+                known_etag.as_deref(),
                 options.timeout_ms,
             )
             .await;
         match answer {
-            Ok(Fetched::Unchanged) => has_failed = false,
-            Ok(Fetched::Whole { value, tag }) => {
+            Ok(ConditionalResponse::NotModified) => has_failed = false,
+            Ok(ConditionalResponse::Modified { value, etag }) => {
                 has_failed = false;
-                known_tag = tag;
+                known_etag = etag;
                 offer(&sender, value);
             }
             Err(error) => {
--- a/ragwortwick-platform/src/store_error.rs
+++ b/ragwortwick-platform/src/store_error.rs
@@ -41,8 +41,8 @@
         let text = error.to_string();
         match error {
             HttpError::NotSent { .. } => Self::NotSent(text),
-            HttpError::NoAnswer { .. }
-            | HttpError::TooLong { .. }
+            HttpError::NoResponse { .. }
+            | HttpError::TooLarge { .. }
             | HttpError::Malformed { .. } => Self::NoAnswer(text),
             HttpError::Status { status, .. } => match status {
                 UNAVAILABLE | TOO_MANY => Self::NotSent(text),
--- a/ragwortwick-platform/tests/host_list.rs
+++ b/ragwortwick-platform/tests/host_list.rs
@@ -4,7 +4,7 @@
 
 use ragwortwick_border::{HostEntry, HostKind, HostList, HostState};
 use ragwortwick_core::DurationMs;
-use ragwortwick_http::{Fetched, HttpClient, HttpClientOptions};
+use ragwortwick_http::{ConditionalResponse, HttpClient, HttpClientOptions};
 use ragwortwick_platform::{HostListOptions, HostListPoller};
 use ragwortwick_standin::Store;
 
@@ -33,17 +33,20 @@
     store.put_host(runner(HostState::Live));
     let client = HttpClient::new(&HttpClientOptions::default());
     let address = store.address().to_string();
-    let read = async |tag: Option<&str>| {
-        let read = client.get_changed::<HostList>(&address, "/v1/hosts", tag, TIMEOUT_MS);
+    let read = async |etag: Option<&str>| {
+        let read = client.get_if_modified::<HostList>(&address, "/v1/hosts", etag, TIMEOUT_MS);
         read.await.expect("the stand-in answers")
     };
-    let Fetched::Whole { value, tag } = read(None).await else {
+    let ConditionalResponse::Modified { value, etag } = read(None).await else {
         panic!("the first read is whole");
     };
     assert_eq!(value.hosts.len(), 1);
-    assert_eq!(read(tag.as_deref()).await, Fetched::Unchanged);
+    assert_eq!(
+        read(etag.as_deref()).await,
+        ConditionalResponse::NotModified
+    );
     store.put_host(runner(HostState::Leaving));
-    let Fetched::Whole { value, .. } = read(tag.as_deref()).await else {
+    let ConditionalResponse::Modified { value, .. } = read(etag.as_deref()).await else {
         panic!("a change is sent");
     };
     assert_eq!(value.hosts[0].state, HostState::Leaving);
--- a/ragwortwick-standin/src/area/fleet.rs
+++ b/ragwortwick-standin/src/area/fleet.rs
@@ -6,7 +6,7 @@
 
 use http::{Method, StatusCode};
 use ragwortwick_core::{DurationMs, HostName, ZoneName};
-use ragwortwick_http::{HttpClient, HttpClientOptions, HttpError, HttpReply};
+use ragwortwick_http::{HttpClient, HttpClientOptions, HttpError, HttpResponse};
 use serde_json::{Map, Value, json};
 use tokio::task::JoinHandle;
 
@@ -154,7 +154,7 @@
         host: usize,
         path: &str,
         body: Option<Value>,
-    ) -> Result<HttpReply, HttpError> {
+    ) -> Result<HttpResponse, HttpError> {
         self.call_as(KEY, method, host, path, body).await
     }
 
@@ -170,7 +170,7 @@
         host: usize,
         path: &str,
         body: Option<Value>,
-    ) -> Result<HttpReply, HttpError> {
+    ) -> Result<HttpResponse, HttpError> {
         let authorization = format!("Token {key}");
         let headers = [
             ("host", "jobs.example"),
--- a/ragwortwick-standin/src/fleet/caller.rs
+++ b/ragwortwick-standin/src/fleet/caller.rs
@@ -7,7 +7,7 @@
     RequestRefusal, RequestSubmit, TableAccept, TableAcceptReply,
 };
 use ragwortwick_core::{DurationMs, JobId};
-use ragwortwick_http::{HttpClient, HttpClientOptions, HttpError, HttpReply};
+use ragwortwick_http::{HttpClient, HttpClientOptions, HttpError, HttpResponse};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -128,7 +128,7 @@
         address: &str,
         path: &str,
         body: &Q,
-    ) -> Result<HttpReply, HttpError> {
+    ) -> Result<HttpResponse, HttpError> {
         let body = serde_json::to_vec(body).map_err(|e| HttpError::NotSent {
             address: address.to_owned(),
             cause: e.to_string(),
@@ -141,7 +141,7 @@
     }
 }
 
-fn read<T: DeserializeOwned>(address: &str, reply: &HttpReply) -> Result<T, HttpError> {
+fn read<T: DeserializeOwned>(address: &str, reply: &HttpResponse) -> Result<T, HttpError> {
     match serde_json::from_slice(&reply.body) {
         Ok(value) => Ok(value),
         // A body of another type is shown whole, with its status: it says more than the parser.
@@ -149,7 +149,7 @@
     }
 }
 
-fn unexpected(address: &str, reply: &HttpReply) -> HttpError {
+fn unexpected(address: &str, reply: &HttpResponse) -> HttpError {
     HttpError::Status {
         address: address.to_owned(),
         status: reply.status.as_u16(),
--- a/ragwortwick-standin/tests/runners.rs
+++ b/ragwortwick-standin/tests/runners.rs
@@ -69,7 +69,7 @@
         ..Faults::default()
     });
     let cut = run(&http, runner.address(), "r1", LIMIT_MS).await;
-    assert!(matches!(cut, Err(HttpError::NoAnswer { .. })), "{cut:?}");
+    assert!(matches!(cut, Err(HttpError::NoResponse { .. })), "{cut:?}");
     assert_eq!(runners.starts("r1"), 1);
     let whole = run(&http, runner.address(), "r2", LIMIT_MS).await;
     assert_eq!(whole.expect("an answer").answer, "whole answer to r2");
@@ -88,7 +88,7 @@
     before.expect("an answer");
     relay.set_mode(RelayMode::SilenceOpen);
     let silent = run(&http, relay.address(), "r2", DurationMs(300)).await;
-    assert!(matches!(silent, Err(HttpError::NoAnswer { .. })));
+    assert!(matches!(silent, Err(HttpError::NoResponse { .. })));
     let fresh = run(&http, relay.address(), "r3", LIMIT_MS).await;
     fresh.expect("a new connection passes");
     assert_eq!(runners.starts("r2"), 0);
--- a/ragwortwick-standin/tests/store.rs
+++ b/ragwortwick-standin/tests/store.rs
@@ -122,7 +122,10 @@
         ..Faults::default()
     });
     let lost = bench.cas("a", 0, "1", None).await;
-    assert!(matches!(lost, Err(HttpError::NoAnswer { .. })), "{lost:?}");
+    assert!(
+        matches!(lost, Err(HttpError::NoResponse { .. })),
+        "{lost:?}"
+    );
     assert_eq!(bench.get("a").await.entry.expect("the entry").value, "1");
     bench.store.close().await;
 }
