--- a/ragwortwick-area/src/advice.rs
+++ b/ragwortwick-area/src/advice.rs
@@ -28,9 +28,9 @@
 /// The margin is no larger a part of a ticket's time than this, or a short one could never be used.
 const MARGIN_PART: u64 = 4;
 
-/// `Advice` is what the advisor told of the steps that wait.
+/// `AdvisorState` is what the advisor told of the steps that wait.
 #[derive(Debug, Default)]
-pub(crate) struct Advice {
+pub(crate) struct AdvisorState {
     steps: BTreeMap<StepId, StepAdvice>,
     /// When the question was sent whose answer is awaited. The advisor takes one after the other from
     /// a host, so a second one would only wait there, and be outdated when it is answered.
@@ -68,7 +68,7 @@
     usable_until: TimeMs,
 }
 
-/// `NoTicket` says that a start can't be sent: it needs a ticket, and there is none that holds.
+/// `MissingTicket` says that a start can't be sent: it needs a ticket, and there is none that holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct MissingTicket;
 
@@ -78,7 +78,7 @@
     }
 }
 
-impl Advice {
+impl AdvisorState {
     /// A worker did not take a ticket: it is worth nothing, however long it was to hold.
     pub(crate) fn discard_ticket(&mut self, worker: &WorkerName, task: &TaskId) {
         if let Some(step) = self.steps.get_mut(&task.step_id()) {
@@ -87,7 +87,7 @@
     }
 
     /// Drops what was told of a job that is over.
-    pub(crate) fn forget(&mut self, job_id: &JobId) {
+    pub(crate) fn remove_job(&mut self, job_id: &JobId) {
         self.steps.retain(|step, _| step.job_id != *job_id);
     }
 }
--- a/ragwortwick-area/src/colocation.rs
+++ b/ragwortwick-area/src/colocation.rs
@@ -38,25 +38,25 @@
 /// Pause before a step up; disturbances change within seconds.
 const RAISE_PAUSE_MS: DurationMs = DurationMs(1_000);
 
-/// `Role` is what a run is to others on its worker.
+/// `ColocationRole` is what a run is to others on its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ColocationRole {
     /// It has its own room.
     Ordinary,
     /// It serves users, who feel its tail latency.
-    Serves {
+    Serving {
         /// Bound of the tail latency.
         target_ms: u64,
     },
     /// It uses what others leave.
-    Fills,
+    Filler,
 }
 
 impl ColocationRole {
     pub(crate) fn of(spec: &StepSpec) -> Self {
         match spec.tail_target_ms {
-            _ if spec.is_filler => Self::Fills,
-            Some(target_ms) => Self::Serves {
+            _ if spec.is_filler => Self::Filler,
+            Some(target_ms) => Self::Serving {
                 target_ms: target_ms.0.max(1),
             },
             None => Self::Ordinary,
@@ -153,7 +153,12 @@
     }
 
     /// A pace may not have arrived; the next look tells it again.
-    pub(crate) fn pace_failed(&mut self, worker_name: &WorkerName, task: &crate::TaskId, run: u32) {
+    pub(crate) fn on_pace_failed(
+        &mut self,
+        worker_name: &WorkerName,
+        task: &crate::TaskId,
+        run: u32,
+    ) {
         let worker = self.workers.get_mut(worker_name);
         let held = worker.and_then(|worker| worker.allocations.get_mut(task));
         if let Some(held) = held.filter(|held| held.run == run) {
--- a/ragwortwick-area/src/packing.rs
+++ b/ragwortwick-area/src/packing.rs
@@ -19,7 +19,7 @@
     pub(crate) labels: Arc<[LabelName]>,
     pub(crate) free: Resources,
     /// What has to end before anything is free: the worker holds more than it has.
-    pub(crate) excess: Resources,
+    pub(crate) overcommitted: Resources,
     /// Accelerators of the worker in all.
     pub(crate) capacity_accelerators: u64,
     /// Evidence against the worker; slots with less of it are taken first.
@@ -37,7 +37,7 @@
 impl Slot {
     /// How many tasks it takes, whatever else binds.
     pub(crate) fn fits(&self, spec: &StepSpec) -> u64 {
-        if self.is_closed || !self.excess.is_zero() {
+        if self.is_closed || !self.overcommitted.is_zero() {
             return 0;
         }
         self.free
@@ -46,35 +46,39 @@
     }
 
     /// Takes an amount out of what is free.
-    pub(crate) fn take(&mut self, amount: Resources) {
+    pub(crate) fn allocate(&mut self, amount: Resources) {
         self.free = self.free.saturating_sub(amount);
     }
 
     /// Adds what is no longer held, as far as it was not in excess.
     pub(crate) fn release(&mut self, amount: Resources) {
-        let paid = self.excess.component_min(amount);
-        self.excess = self.excess.saturating_sub(paid);
+        let paid = self.overcommitted.component_min(amount);
+        self.overcommitted = self.overcommitted.saturating_sub(paid);
         self.free = self.free.plus(amount.saturating_sub(paid));
     }
 
     /// The same worker with an amount held again that was given back.
     pub(crate) fn with_reallocated(&self, amount: Resources) -> Self {
         Self {
-            excess: self.excess.plus(amount.saturating_sub(self.free)),
+            overcommitted: self.overcommitted.plus(amount.saturating_sub(self.free)),
             free: self.free.saturating_sub(amount),
             ..self.clone()
         }
     }
 
     /// Counts how many tasks of the step it takes within the bounds.
-    pub(crate) fn room(&self, spec: &StepSpec, bounds: &PlacementConstraints) -> u64 {
+    pub(crate) fn placeable_tasks(&self, spec: &StepSpec, bounds: &PlacementConstraints) -> u64 {
         if !self.has_required_label(spec) || !bounds.permits(self) {
             return 0;
         }
         let fits = self.fits(spec);
         match spec.max_per_worker {
             Some(most) => {
-                let taken = bounds.taken.get(&self.worker).copied().unwrap_or(0);
+                let taken = bounds
+                    .tasks_by_worker
+                    .get(&self.worker)
+                    .copied()
+                    .unwrap_or(0);
                 fits.min(u64::from(most.saturating_sub(taken)))
             }
             None => fits,
@@ -112,9 +116,9 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PlacementConstraints {
     /// Tasks of the step that workers have already.
-    pub(crate) taken: BTreeMap<WorkerName, u32>,
+    pub(crate) tasks_by_worker: BTreeMap<WorkerName, u32>,
     /// The only workers that may run the step; none if any may.
-    pub(crate) allowed: Option<BTreeSet<WorkerName>>,
+    pub(crate) allowed_workers: Option<BTreeSet<WorkerName>>,
     /// Whether the step rather goes to fast workers; if not, it leaves them to others.
     pub(crate) prefers_fast: bool,
     /// Whether the headroom is left to others.
@@ -125,13 +129,13 @@
 
 impl PlacementConstraints {
     /// Notes that one more task of the step goes to a worker.
-    pub(crate) fn take(&mut self, worker: &WorkerName) {
-        *self.taken.entry(worker.clone()).or_insert(0) += 1;
+    pub(crate) fn count_task(&mut self, worker: &WorkerName) {
+        *self.tasks_by_worker.entry(worker.clone()).or_insert(0) += 1;
     }
 
     fn permits(&self, slot: &Slot) -> bool {
         let is_spared = self.avoids_headroom && slot.is_headroom;
-        let allowed = self.allowed.as_ref();
+        let allowed = self.allowed_workers.as_ref();
         let is_too_busy = self.needs_isolated_start && !slot.has_no_recent_start;
         !is_spared && !is_too_busy && allowed.is_none_or(|allowed| allowed.contains(&slot.worker))
     }
@@ -175,9 +179,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Locality {
     /// Only where it is not slowed down by distance.
-    Near,
+    Required,
     /// Anywhere.
-    Anywhere,
+    Relaxed,
 }
 
 /// `pack_gang` finds a slot for each of `count` members, or none at all.
--- a/ragwortwick-area/src/placement.rs
+++ b/ragwortwick-area/src/placement.rs
@@ -11,7 +11,7 @@
 use crate::job_state::{JobState, TaskState};
 use crate::packing::{Locality, PlacementConstraints, pack_gang, pack_single};
 use crate::pool_capacity::PoolCapacity;
-use crate::reservation::Keeping;
+use crate::reservation::Reservations;
 
 /// How long before its bound a guaranteed job takes any place, also one where it runs slower.
 const RECLAIM_ANYWHERE_MS: DurationMs = DurationMs(1_000);
--- a/ragwortwick-area/src/pool_capacity.rs
+++ b/ragwortwick-area/src/pool_capacity.rs
@@ -13,17 +13,17 @@
 /// What is idle serves nobody, and slow work is better than none while room for others is left.
 const SPARE_SHARE_PERCENT: u64 = 50;
 
-/// `Room` is what the workers of one pool have left during a pass.
+/// `PoolCapacity` is what the workers of one pool have left during a pass.
 #[derive(Debug, Default)]
-pub(crate) struct Room {
+pub(crate) struct PoolCapacity {
     pub(crate) slots: Vec<Slot>,
     /// Places taken since this was last emptied.
-    pub(crate) taken: Vec<(usize, Resources)>,
+    pub(crate) allocations: Vec<(usize, Resources)>,
     capacity: u64,
     used: u64,
 }
 
-impl Room {
+impl PoolCapacity {
     pub(crate) fn is_mostly_idle(&self) -> bool {
         self.used * 100 < self.capacity * SPARE_SHARE_PERCENT
     }
@@ -33,23 +33,23 @@
     }
 
     /// Takes room for a task that begins on a worker.
-    pub(crate) fn take(&mut self, index: usize, need: Resources) {
+    pub(crate) fn allocate(&mut self, index: usize, need: Resources) {
         let slot = &mut self.slots[index];
         slot.allocate(need);
         slot.has_no_recent_start = false;
         self.used += need.accelerators;
-        self.taken.push((index, need));
+        self.allocations.push((index, need));
     }
 
     /// Lets nothing else begin on a worker in this pass.
-    pub(crate) fn close(&mut self, index: usize) {
+    pub(crate) fn close_slot(&mut self, index: usize) {
         self.slots[index].is_closed = true;
     }
 }
 
 impl Coordinator {
     /// What the workers of a pool have left now; only those that take work have slots.
-    pub(crate) fn room(&self, now: TimeMs, pool: &PoolName) -> PoolCapacity {
+    pub(crate) fn pool_capacity(&self, now: TimeMs, pool: &PoolName) -> PoolCapacity {
         let mut room = PoolCapacity::default();
         for (name, worker) in &self.workers {
             if worker.entry.pool != *pool || !worker.is_listed {
--- a/ragwortwick-area/src/preemption.rs
+++ b/ragwortwick-area/src/preemption.rs
@@ -11,7 +11,7 @@
 use crate::job::{Resources, StepId, StepSpec, TaskId};
 use crate::packing::{PlacementConstraints, Slot};
 use crate::pool_capacity::PoolCapacity;
-use crate::preemption_plan::{Plan, cheapest, find};
+use crate::preemption_plan::{PreemptionPlan, cheapest_plan, place_all};
 
 /// Work that a stop costs beside what it throws away: the run's room stands empty meanwhile.
 const RESTART_MS: u64 = 500;
@@ -39,13 +39,13 @@
     group: Group,
     priority: u32,
     /// Core-seconds of work that a stop throws away.
-    pub(crate) waste: f64,
+    pub(crate) lost_work: f64,
     /// The same with what the stop itself takes, by the weight of its callers: victims are chosen by it.
     pub(crate) cost: f64,
     /// Workers that it runs on.
     on: BTreeSet<WorkerName>,
     /// What it frees, by the slot of the pass.
-    pub(crate) frees: Vec<(usize, Resources)>,
+    pub(crate) freed: Vec<(usize, Resources)>,
     accelerators: u64,
 }
 
@@ -90,7 +90,7 @@
             let shape = (spec.placement_key(), count);
             // What the advisor allows differs from step to step.
             let is_hopeless = bounds.allowed_workers.is_none() && unplaced.contains(&shape);
-            if !is_hopeless && let Some(places) = find(&future, &spec, count, &bounds) {
+            if !is_hopeless && let Some(places) = place_all(&future, &spec, count, &bounds) {
                 reserve(&mut future, room, &places, spec.demand());
                 continue;
             }
@@ -233,10 +233,10 @@
                     let victim = Victim {
                         group,
                         priority: held.priority,
-                        waste: 0.0,
+                        lost_work: 0.0,
                         cost: 0.0,
                         on: BTreeSet::new(),
-                        frees: Vec::new(),
+                        freed: Vec::new(),
                         accelerators: 0,
                     };
                     (held.placed_at, victim)
@@ -289,16 +289,16 @@
     count: usize,
     bounds: &PlacementConstraints,
     victims: &[Victim],
-) -> Option<Plan> {
+) -> Option<PreemptionPlan> {
     if candidate.is_guaranteed {
-        return cheapest(future, spec, count, bounds, victims);
+        return cheapest_plan(future, spec, count, bounds, victims);
     }
     let lower: Vec<Victim> = victims
         .iter()
         .filter(|victim| victim.priority > candidate.priority)
         .cloned()
         .collect();
-    cheapest(future, spec, count, bounds, &lower)
+    cheapest_plan(future, spec, count, bounds, &lower)
 }
 
 /// Which slot of the pass is a worker's.
--- a/ragwortwick-area/src/preemption_plan.rs
+++ b/ragwortwick-area/src/preemption_plan.rs
@@ -10,17 +10,17 @@
 use crate::packing::{Locality, PlacementConstraints, Slot, pack_gang, pack_single, rack_ranges};
 use crate::preemption::Victim;
 
-/// `Plan` is a set of victims to stop and where the work then goes.
-pub(crate) struct Plan {
-    pub(crate) stopped: Vec<Victim>,
+/// `PreemptionPlan` is a set of victims to stop and where the work then goes.
+pub(crate) struct PreemptionPlan {
+    pub(crate) victims: Vec<Victim>,
     /// Slots of the pass.
-    pub(crate) places: Vec<usize>,
-    pub(crate) waste: f64,
+    pub(crate) placements: Vec<usize>,
+    pub(crate) lost_work: f64,
     cost: f64,
 }
 
 /// Finds a slot for each task, all or none.
-pub(crate) fn find(
+pub(crate) fn place_all(
     slots: &[Slot],
     spec: &StepSpec,
     count: usize,
@@ -42,14 +42,14 @@
 }
 
 /// The plan that costs the least, over all racks for work that wants one.
-pub(crate) fn cheapest(
+pub(crate) fn cheapest_plan(
     slots: &[Slot],
     spec: &StepSpec,
     count: usize,
     bounds: &PlacementConstraints,
     victims: &[Victim],
-) -> Option<Plan> {
-    let mut best: Option<Plan> = None;
+) -> Option<PreemptionPlan> {
+    let mut best: Option<PreemptionPlan> = None;
     if spec.is_gang && spec.wants_same_rack {
         for within in rack_ranges(slots) {
             let plan = Clearing::new(slots, within, spec, bounds, victims).plan(count);
@@ -60,7 +60,7 @@
     best.or_else(|| Clearing::new(slots, 0..slots.len(), spec, bounds, victims).plan(count))
 }
 
-fn cheaper(best: Option<Plan>, other: Option<Plan>) -> Option<Plan> {
+fn cheaper(best: Option<PreemptionPlan>, other: Option<PreemptionPlan>) -> Option<PreemptionPlan> {
     match (best, other) {
         (Some(best), Some(other)) if other.cost < best.cost => Some(other),
         (None, other) => other,
@@ -126,8 +126,8 @@
         }
     }
 
-    fn plan(mut self, count: usize) -> Option<Plan> {
-        let mut places = Vec::with_capacity(count);
+    fn plan(mut self, count: usize) -> Option<PreemptionPlan> {
+        let mut placements = Vec::with_capacity(count);
         for _ in 0..count {
             let index = self.cheapest_slot()?;
             let offer = std::mem::replace(&mut self.offers[index], Offer::Unknown);
@@ -139,18 +139,18 @@
             let slot = &mut self.slots[index];
             slot.allocate(self.spec.demand());
             self.bounds.count_task(&slot.worker);
-            places.push(self.within.start + index);
+            placements.push(self.within.start + index);
         }
-        let stopped = self.victims.iter().zip(&self.is_stopped);
-        let stopped: Vec<Victim> = stopped
+        let victims = self.victims.iter().zip(&self.is_stopped);
+        let victims: Vec<Victim> = victims
             .filter(|(_, is_stopped)| **is_stopped)
             .map(|(victim, _)| victim.clone())
             .collect();
-        Some(Plan {
-            waste: stopped.iter().map(|victim| victim.lost_work).sum(),
-            cost: stopped.iter().map(|victim| victim.cost).sum(),
-            stopped,
-            places,
+        Some(PreemptionPlan {
+            lost_work: victims.iter().map(|victim| victim.lost_work).sum(),
+            cost: victims.iter().map(|victim| victim.cost).sum(),
+            victims,
+            placements,
         })
     }
 
@@ -231,7 +231,7 @@
 
     fn stop(&mut self, victim: usize) {
         self.is_stopped[victim] = true;
-        for (index, need) in &self.victims[victim].frees {
+        for (index, need) in &self.victims[victim].freed {
             if self.within.contains(index) {
                 let slot = &mut self.slots[index - self.within.start];
                 slot.release(*need);
@@ -241,8 +241,8 @@
     }
 
     fn freed_on(&self, victim: usize, index: usize) -> Resources {
-        let frees = self.victims[victim].frees.iter();
-        frees
+        let freed = self.victims[victim].freed.iter();
+        freed
             .filter(|(at, _)| *at == self.within.start + index)
             .fold(Resources::default(), |sum, (_, need)| sum.plus(*need))
     }
--- a/ragwortwick-area/src/reservation.rs
+++ b/ragwortwick-area/src/reservation.rs
@@ -36,8 +36,8 @@
 /// What runs on a slot takes, and how long it is likely to go on.
 type Outlook = Vec<(DurationMs, Resources)>;
 
-/// `Keeping` is what one pass may still keep, and what it knows of the pool.
-pub(crate) struct Keeping {
+/// `Reservations` is what one pass may still keep, and what it knows of the pool.
+pub(crate) struct Reservations {
     workers_left: usize,
     gangs_left: usize,
     /// Workers with room that is kept.
@@ -48,7 +48,7 @@
     outlooks: Option<Vec<Outlook>>,
 }
 
-impl Keeping {
+impl Reservations {
     pub(crate) fn new(workers: usize) -> Self {
         Self {
             workers_left: workers * KEPT_SHARE_PERCENT / 100,
@@ -60,7 +60,7 @@
     }
 }
 
-impl Keeping {
+impl Reservations {
     /// Gives back what is kept on one worker that then has room for a task of the step, if there is one.
     fn release(
         &mut self,
--- a/ragwortwick-area/src/speed.rs
+++ b/ragwortwick-area/src/speed.rs
@@ -34,22 +34,22 @@
 pub(crate) enum Speed {
     /// As fast as most, as far as is known.
     #[default]
-    Usual,
+    Normal,
     /// Slower than most.
     Slow,
     /// Several times slower.
-    Crawling,
+    VerySlow,
 }
 
-/// `SpeedRecord` sums what alike tasks took on a worker against elsewhere.
+/// `SpeedEstimate` sums what alike tasks took on a worker against elsewhere.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct SpeedRecord {
+pub(crate) struct SpeedEstimate {
     /// Sum of the logarithms of the ratios.
     log_sum: f64,
     samples: f64,
 }
 
-impl SpeedRecord {
+impl SpeedEstimate {
     fn hear(&mut self, log_ratio: f64) {
         if self.samples >= MOST_SAMPLES {
             let keep = (MOST_SAMPLES - 1.0) / self.samples;
@@ -72,14 +72,14 @@
     }
 }
 
-/// `AlikeDurations` sums what the tasks of a step took.
+/// `StepDurations` sums what the tasks of a step took.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct AlikeDurations {
+pub(crate) struct StepDurations {
     log_sum: f64,
     count: f64,
 }
 
-impl AlikeDurations {
+impl StepDurations {
     /// Takes in a duration; gives the logarithm of its ratio to the others' mean, if there are any.
     #[expect(
         clippy::cast_precision_loss,
