--- a/ragwortwick-emulator/src/advisor.rs
+++ b/ragwortwick-emulator/src/advisor.rs
@@ -7,7 +7,7 @@
 use rand::Rng;
 
 use crate::arrivals::TICKET_MS;
-use crate::world::World;
+use crate::simulation::World;
 
 /// Share of questions that get no answer.
 const UNANSWERED: f64 = 0.1;
--- a/ragwortwick-emulator/src/coordination.rs
+++ b/ragwortwick-emulator/src/coordination.rs
@@ -4,7 +4,7 @@
 use ragwortwick_core::{DurationMs, JobId};
 use rand::Rng;
 
-use crate::world::{Happening, World};
+use crate::simulation::{Happening, World};
 
 impl World {
     pub(crate) fn hear(&mut self, host: usize, term: u64, event: Event) {
--- a/ragwortwick-emulator/src/troubles.rs
+++ b/ragwortwick-emulator/src/fault_injection.rs
@@ -4,8 +4,8 @@
 
 use crate::faults::FaultKind;
 use crate::host::Host;
+use crate::simulation::World;
 use crate::worker::Presence;
-use crate::world::World;
 
 impl World {
     pub(crate) fn set_fault(&mut self, index: usize, is_on: bool) {
--- a/ragwortwick-emulator/src/lib.rs
+++ b/ragwortwick-emulator/src/lib.rs
@@ -5,24 +5,24 @@
 
 mod advisor;
 mod arrivals;
-mod callers;
-mod check;
 mod coordination;
+mod fault_injection;
 mod faults;
 mod host;
+mod invariants;
 mod load;
 mod network;
-mod pool;
+mod orders;
 mod runs;
+mod simulation;
 mod store;
-mod time;
-mod troubles;
+mod submissions;
+mod ticks;
+mod value;
 mod worker;
-mod world;
-mod worth;
 
 pub use arrivals::Arrivals;
 pub use faults::{Fault, FaultKind, draw_faults};
 pub use load::{Burst, Load, NeedLoad, QueueLoad};
-pub use world::{Options, Report, World};
-pub use worth::{Account, LossCause, Outcome, WasteCause, Worth};
+pub use simulation::{Options, Report, World};
+pub use value::{Account, LossCause, Outcome, WasteCause, Worth};
--- a/ragwortwick-emulator/src/network.rs
+++ b/ragwortwick-emulator/src/network.rs
@@ -4,7 +4,7 @@
 use ragwortwick_core::WorkerName;
 use rand::Rng;
 
-use crate::world::{Happening, World};
+use crate::simulation::{Happening, World};
 
 impl World {
     pub(crate) fn send(&mut self, host: usize, term: u64, action: Action) {
--- a/ragwortwick-emulator/src/pool.rs
+++ b/ragwortwick-emulator/src/orders.rs
@@ -4,9 +4,9 @@
 use ragwortwick_core::DurationMs;
 use rand::Rng;
 
-use crate::check::StartSeen;
+use crate::invariants::StartSeen;
+use crate::simulation::{Happening, World};
 use crate::worker::{Attempt, EmuWorker, Presence, read_checkpoint};
-use crate::world::{Happening, World};
 
 /// How long after it shrank a worker's capacity still counts as whole for what begins there.
 const SHRUNK_COUNTS_AFTER_MS: DurationMs = DurationMs(4_500);
--- a/ragwortwick-emulator/src/runs.rs
+++ b/ragwortwick-emulator/src/runs.rs
@@ -5,9 +5,9 @@
 use ragwortwick_area::{EndKind, Event, PollFailure, RefusalCause, TaskId};
 use ragwortwick_core::{DurationMs, WorkerName};
 
+use crate::simulation::{GangKey, Happening, World};
+use crate::value::WasteCause;
 use crate::worker::{Presence, WaitingLook};
-use crate::world::{GangKey, Happening, World};
-use crate::worth::WasteCause;
 
 /// How long a worker is away whose process a task has crashed.
 const CRASHED_FOR_MS: u64 = 3_000;
--- a/ragwortwick-emulator/src/world.rs
+++ b/ragwortwick-emulator/src/simulation.rs
@@ -13,13 +13,13 @@
 
 use crate::advisor::Advisor;
 use crate::arrivals::{Arrival, Arrivals, desired};
-use crate::check::Truth;
 use crate::faults::Fault;
 use crate::host::Host;
+use crate::invariants::Truth;
 use crate::load::Load;
 use crate::store::{Store, StoredJob};
+use crate::value::{Scale, Seen, WasteCause, Worth};
 use crate::worker::{EmuWorker, Saving};
-use crate::worth::{Scale, Seen, WasteCause, Worth};
 
 /// How often leases, gangs, elections and feeds are looked after.
 pub(crate) const TICK_MS: DurationMs = DurationMs(20);
--- a/ragwortwick-emulator/src/callers.rs
+++ b/ragwortwick-emulator/src/submissions.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Arc;
 
+use crate::simulation::{Happening, World};
 use crate::store::StoredJob;
-use crate::world::{Happening, World};
 
 impl World {
     pub(crate) fn arrive(&mut self, index: usize) {
--- a/ragwortwick-emulator/src/time.rs
+++ b/ragwortwick-emulator/src/ticks.rs
@@ -7,8 +7,8 @@
 use ragwortwick_core::DurationMs;
 
 use crate::host::Term;
+use crate::simulation::{FEED_MS, World};
 use crate::store::LEASE_TTL_MS;
-use crate::world::{FEED_MS, World};
 
 impl World {
     pub(crate) fn tick(&mut self) {
--- a/ragwortwick-emulator/src/worth.rs
+++ b/ragwortwick-emulator/src/value.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::arrivals::as_float;
-use crate::check::Tally;
+use crate::invariants::Tally;
 use crate::load::{Load, QueueLoad};
 
 /// Up to this many times its objective a job is late; past it, it is worth nothing to its caller.
