--- a/ragwortwick-emulator/src/arrivals.rs
+++ b/ragwortwick-emulator/src/arrivals.rs
@@ -11,7 +11,7 @@
 use rand_distr::{Distribution, LogNormal};
 use rand_pcg::Pcg64Mcg;
 
-use crate::load::{Load, QueueLoad};
+use crate::workload::{Load, QueueLoad};
 
 /// Pool of all workers.
 pub(crate) const POOL: &str = "booking";
--- a/ragwortwick-emulator/src/lib.rs
+++ b/ragwortwick-emulator/src/lib.rs
@@ -10,7 +10,7 @@
 mod faults;
 mod host;
 mod invariants;
-mod load;
+mod workload;
 mod network;
 mod orders;
 mod runs;
@@ -23,6 +23,6 @@
 
 pub use arrivals::Arrivals;
 pub use faults::{Fault, FaultKind, draw_faults};
-pub use load::{Burst, Load, NeedLoad, QueueLoad};
+pub use workload::{Burst, Load, NeedLoad, QueueLoad};
 pub use simulation::{Options, Report, World};
 pub use value::{Account, LossCause, Outcome, WasteCause, Worth};
--- a/ragwortwick-emulator/src/simulation.rs
+++ b/ragwortwick-emulator/src/simulation.rs
@@ -16,7 +16,7 @@
 use crate::faults::Fault;
 use crate::host::Host;
 use crate::invariants::Truth;
-use crate::load::Load;
+use crate::workload::Load;
 use crate::store::{Store, StoredJob};
 use crate::value::{Scale, Seen, WasteCause, Worth};
 use crate::worker::{EmuWorker, Saving};
--- a/ragwortwick-emulator/src/value.rs
+++ b/ragwortwick-emulator/src/value.rs
@@ -7,7 +7,7 @@
 
 use crate::arrivals::as_float;
 use crate::invariants::Tally;
-use crate::load::{Load, QueueLoad};
+use crate::workload::{Load, QueueLoad};
 
 /// Up to this many times its objective a job is late; past it, it is worth nothing to its caller.
 const LATE_LIMIT: u64 = 3;
