--- a/ragwortwick-emulator/examples/emulate.rs
+++ b/ragwortwick-emulator/examples/emulate.rs
@@ -5,7 +5,7 @@
 
 use ragwortwick_area::Limits;
 use ragwortwick_core::{DurationMs, TimeMs};
-use ragwortwick_emulator::{Load, Options, World, draw_faults};
+use ragwortwick_emulator::{Simulation, SimulationOptions, Workload, draw_faults};
 
 const HELP: &str = "\
 emulate: plays an area in virtual time
@@ -63,10 +63,10 @@
     let (mut starts, mut stopped, mut jobs, mut without_ticket) = (0, 0, 0, 0);
     for seed in first..first + seeds {
         let share = f64::from(u32::try_from(percent).unwrap_or(100)) / 100.0;
-        let options = Options {
+        let options = SimulationOptions {
             seed,
-            load: if is_advised {
-                base.clone().scaled(share).advised()
+            workload: if is_advised {
+                base.clone().scaled(share).with_advisor()
             } else {
                 base.clone().scaled(share)
             },
@@ -75,19 +75,19 @@
                 lease_ms: DurationMs(lease_ms),
                 ..Limits::default()
             },
-            ..Options::default()
+            ..SimulationOptions::default()
         };
         let count = usize::try_from(faults).unwrap_or(3);
         let faults = draw_faults(seed, count, TimeMs(20_000));
-        let report = World::new(options, faults.clone()).run();
+        let report = Simulation::new(options, faults.clone()).run();
         starts += report.starts;
         stopped += report.stopped;
-        without_ticket += report.without_ticket;
+        without_ticket += report.ticket_refusals;
         jobs += report.jobs;
-        if !report.findings.is_empty() {
+        if !report.violations.is_empty() {
             broken += 1;
             println!("seed={seed} faults={faults:?}");
-            for finding in report.findings.iter().take(5) {
+            for finding in report.violations.iter().take(5) {
                 println!("  {finding}");
             }
         }
@@ -104,12 +104,12 @@
 }
 
 /// The load of the named file, or the one that is built in.
-fn read_load(arguments: &mut pico_args::Arguments) -> Result<Load, String> {
+fn read_load(arguments: &mut pico_args::Arguments) -> Result<Workload, String> {
     let path: Option<PathBuf> = arguments
         .opt_value_from_str("--load-file")
         .map_err(|error| error.to_string())?;
     let Some(path) = path else {
-        return Ok(Load::default());
+        return Ok(Workload::default());
     };
     let at = |error: String| format!("{}: {error}", path.display());
     let text = std::fs::read_to_string(&path).map_err(|error| at(error.to_string()))?;
--- a/ragwortwick-emulator/examples/experiment.rs
+++ b/ragwortwick-emulator/examples/experiment.rs
@@ -10,7 +10,10 @@
 use anyhow::{Context, bail};
 use ragwortwick_area::Limits;
 use ragwortwick_core::{DurationMs, TimeMs};
-use ragwortwick_emulator::{Load, LossCause, Options, Report, WasteCause, World, draw_faults};
+use ragwortwick_emulator::{
+    LostWorkCause, Simulation, SimulationOptions, SimulationReport, ValueLossCause, Workload,
+    draw_faults,
+};
 use serde::{Deserialize, Serialize};
 
 const HELP: &str = "\
@@ -26,20 +29,20 @@
 exit codes: 0 all went well, 1 a promise was broken or an input is wrong
 ";
 
-const WASTE_CAUSES: [WasteCause; 5] = [
-    WasteCause::Displaced,
-    WasteCause::Cancelled,
-    WasteCause::Failed,
-    WasteCause::Broken,
-    WasteCause::Lapsed,
+const WASTE_CAUSES: [LostWorkCause; 5] = [
+    LostWorkCause::Displaced,
+    LostWorkCause::Cancelled,
+    LostWorkCause::Failed,
+    LostWorkCause::Broken,
+    LostWorkCause::Lapsed,
 ];
 
-const LOSS_CAUSES: [LossCause; 5] = [
-    LossCause::Failed,
-    LossCause::Lapsed,
-    LossCause::Displaced,
-    LossCause::Waited,
-    LossCause::Slow,
+const LOSS_CAUSES: [ValueLossCause; 5] = [
+    ValueLossCause::Failed,
+    ValueLossCause::Lapsed,
+    ValueLossCause::Displaced,
+    ValueLossCause::Waited,
+    ValueLossCause::Slow,
 ];
 
 /// Figures of one seed, by name.
@@ -80,25 +83,25 @@
     let shows_jobs = arguments.contains("--jobs");
     let file: PathBuf = arguments.free_from_str()?;
     let text = std::fs::read_to_string(&file).with_context(|| file.display().to_string())?;
-    let load: Load = serde_json::from_str(&text).with_context(|| file.display().to_string())?;
+    let load: Workload = serde_json::from_str(&text).with_context(|| file.display().to_string())?;
     let load = load.scaled(f64::from(percent) / 100.0);
     let mut is_broken = false;
     for seed in first..first + seeds {
-        let options = Options {
+        let options = SimulationOptions {
             seed,
             workers,
             rack,
-            load: load.clone(),
+            workload: load.clone(),
             limits: limits.clone(),
         };
         let until = TimeMs(load.for_ms.0);
-        let report = World::new(options, draw_faults(seed, faults, until)).run();
-        for finding in &report.findings {
+        let report = Simulation::new(options, draw_faults(seed, faults, until)).run();
+        for finding in &report.violations {
             eprintln!("seed={seed} {finding}");
             is_broken = true;
         }
         if shows_jobs {
-            let outcomes = report.worth.outcomes.iter();
+            let outcomes = report.value.outcomes.iter();
             for outcome in outcomes.filter(|outcome| outcome.cause.is_some()) {
                 println!("{}", serde_json::to_string(outcome)?);
             }
@@ -121,26 +124,28 @@
     clippy::cast_precision_loss,
     reason = "counts of a run are far below what a float holds exactly"
 )]
-fn figures(report: &Report) -> BTreeMap<String, f64> {
+fn figures(report: &SimulationReport) -> BTreeMap<String, f64> {
     let mut figures = BTreeMap::new();
     let mut tell = |name: &str, figure: f64| figures.insert(name.to_owned(), figure);
-    let shares = |accounts: &BTreeMap<String, ragwortwick_emulator::Account>| {
-        let shares = accounts.values().map(ragwortwick_emulator::Account::share);
+    let shares = |accounts: &BTreeMap<String, ragwortwick_emulator::ValueAccount>| {
+        let shares = accounts
+            .values()
+            .map(ragwortwick_emulator::ValueAccount::share);
         shares.fold(1.0, f64::min)
     };
-    tell("share_earned", report.worth.whole.share());
-    tell("share_worst_queue", shares(&report.worth.by_queue));
-    tell("share_worst_customer", shares(&report.worth.by_customer));
-    for (queue, account) in &report.worth.by_queue {
+    tell("share_earned", report.value.total.share());
+    tell("share_worst_queue", shares(&report.value.by_queue));
+    tell("share_worst_customer", shares(&report.value.by_customer));
+    for (queue, account) in &report.value.by_queue {
         tell(&format!("share_of_{queue}"), account.share());
     }
     for cause in LOSS_CAUSES {
-        let lost = report.worth.lost.get(&cause).copied().unwrap_or(0.0);
-        let owed = report.worth.whole.owed.max(f64::MIN_POSITIVE);
+        let lost = report.value.lost.get(&cause).copied().unwrap_or(0.0);
+        let owed = report.value.total.owed.max(f64::MIN_POSITIVE);
         tell(&format!("lost_{cause:?}").to_lowercase(), lost / owed);
     }
     for cause in WASTE_CAUSES {
-        let wasted = report.wasted_core_s.get(&cause).copied().unwrap_or(0);
+        let wasted = report.lost_core_s.get(&cause).copied().unwrap_or(0);
         let name = format!("wasted_core_s_{cause:?}").to_lowercase();
         tell(&name, wasted as f64);
     }
--- a/ragwortwick-emulator/src/advisor.rs
+++ b/ragwortwick-emulator/src/advisor.rs
@@ -7,7 +7,7 @@
 use rand::Rng;
 
 use crate::arrivals::TICKET_MS;
-use crate::simulation::World;
+use crate::simulation::Simulation;
 
 /// Share of questions that get no answer.
 const UNANSWERED: f64 = 0.1;
@@ -21,7 +21,7 @@
     pub(crate) refused: u64,
 }
 
-impl World {
+impl Simulation {
     /// What the coordinator hears of a question once the answer has taken its time.
     pub(crate) fn advise(
         &mut self,
--- a/ragwortwick-emulator/src/arrivals.rs
+++ b/ragwortwick-emulator/src/arrivals.rs
@@ -11,7 +11,7 @@
 use rand_distr::{Distribution, LogNormal};
 use rand_pcg::Pcg64Mcg;
 
-use crate::workload::{Load, QueueLoad};
+use crate::workload::{QueueWorkload, Workload};
 
 /// Pool of all workers.
 pub(crate) const POOL: &str = "booking";
@@ -51,7 +51,7 @@
 impl Arrivals {
     /// `draw` makes the jobs of one run.
     #[must_use]
-    pub fn draw(seed: u64, load: &Load, racks: u32) -> Self {
+    pub fn draw(seed: u64, load: &Workload, racks: u32) -> Self {
         let mut rng = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
         let mut jobs = Vec::new();
         for queue in &load.queues {
@@ -89,7 +89,13 @@
     }
 }
 
-fn arrival(rng: &mut Pcg64Mcg, queue: &QueueLoad, at: TimeMs, load: &Load, racks: u32) -> Arrival {
+fn arrival(
+    rng: &mut Pcg64Mcg,
+    queue: &QueueWorkload,
+    at: TimeMs,
+    load: &Workload,
+    racks: u32,
+) -> Arrival {
     let job_id = JobId::new(format!("{:016x}", rng.random::<u64>()));
     let step_count = 1 + usize::from(rng.random_bool(queue.second_step));
     let mut steps = Vec::new();
@@ -159,7 +165,7 @@
     }
 }
 
-fn terms(queue: &QueueLoad) -> QueuePolicy {
+fn terms(queue: &QueueWorkload) -> QueuePolicy {
     let advice = AdvisorTiming {
         answer_ms: DurationMs(40),
         per_worker_ms: DurationMs(3),
@@ -176,7 +182,7 @@
 }
 
 /// The operators' desired state of every run.
-pub(crate) fn desired(load: &Load, accelerators: u64) -> DesiredState {
+pub(crate) fn desired(load: &Workload, accelerators: u64) -> DesiredState {
     let queues = load.queues.iter().map(|queue| {
         let name = &queue.name;
         let known = Queue {
@@ -208,7 +214,7 @@
 }
 
 /// By how much a customer's estimate differs from the true duration.
-fn estimate_factor(rng: &mut Pcg64Mcg, queue: &QueueLoad) -> f64 {
+fn estimate_factor(rng: &mut Pcg64Mcg, queue: &QueueWorkload) -> f64 {
     if queue.estimate_sigma > 0.0 {
         log_normal(rng, 0.0, queue.estimate_sigma)
     } else {
@@ -222,7 +228,7 @@
 }
 
 /// Number of tasks of a step.
-fn width(rng: &mut Pcg64Mcg, queue: &QueueLoad) -> u32 {
+fn width(rng: &mut Pcg64Mcg, queue: &QueueWorkload) -> u32 {
     let factor = if queue.width_sigma > 0.0 {
         // The mean of the distribution is one.
         let mu = -queue.width_sigma * queue.width_sigma / 2.0;
--- a/ragwortwick-emulator/src/coordination.rs
+++ b/ragwortwick-emulator/src/coordination.rs
@@ -4,9 +4,9 @@
 use ragwortwick_core::{DurationMs, JobId};
 use rand::Rng;
 
-use crate::simulation::{Happening, World};
+use crate::simulation::{Happening, Simulation};
 
-impl World {
+impl Simulation {
     pub(crate) fn hear(&mut self, host: usize, term: u64, event: Event) {
         if let Some(until) = self.hosts[host].frozen_until
             && self.now < until
--- a/ragwortwick-emulator/src/fault_injection.rs
+++ b/ragwortwick-emulator/src/fault_injection.rs
@@ -4,10 +4,10 @@
 
 use crate::faults::FaultKind;
 use crate::host::Host;
-use crate::simulation::World;
+use crate::simulation::Simulation;
 use crate::worker::Presence;
 
-impl World {
+impl Simulation {
     pub(crate) fn set_fault(&mut self, index: usize, is_on: bool) {
         let fault = self.faults[index];
         let until = fault.at + fault.for_ms;
@@ -41,10 +41,10 @@
                 let names = third.iter().map(|&at| self.workers[at].name.clone());
                 self.hosts[leader].cut_workers = names.collect();
             }
-            FaultKind::AnswersCut if is_on => self.hosts[leader].loses_answers = true,
+            FaultKind::RepliesDropped if is_on => self.hosts[leader].loses_answers = true,
             FaultKind::CoordinatorCutFromStore
             | FaultKind::CoordinatorCutFromWorkers
-            | FaultKind::AnswersCut => {
+            | FaultKind::RepliesDropped => {
                 for host in &mut self.hosts {
                     host.is_cut_from_store = false;
                     host.cut_workers.clear();
@@ -52,10 +52,10 @@
                 }
             }
             FaultKind::CoordinatorKilled | FaultKind::CoordinatorFrozen => {}
-            FaultKind::StoreAway => self.store.is_away = is_on,
-            FaultKind::StoreAnswersLost => self.store.loses_answers = is_on,
+            FaultKind::StoreUnavailable => self.store.is_away = is_on,
+            FaultKind::StoreRepliesLost => self.store.loses_answers = is_on,
             FaultKind::WorkersCrash => self.cut_power(&few, is_on),
-            FaultKind::RackOut => {
+            FaultKind::RackPowerLoss => {
                 let first = index * self.options.rack as usize % self.workers.len();
                 let rack = &self.workers[first].rack;
                 let of_rack = |at: &usize| self.workers[*at].rack == *rack;
@@ -107,7 +107,7 @@
 
     /// Halves the capacity of workers, or makes it whole.
     fn shrink(&mut self, workers: &[usize], is_on: bool) {
-        let whole = self.options.load.capacity;
+        let whole = self.options.workload.capacity;
         for &at in workers {
             self.workers[at].capacity = if is_on { halved(whole) } else { whole };
             self.workers[at].shrunk_at = is_on.then_some(self.now);
--- a/ragwortwick-emulator/src/faults.rs
+++ b/ragwortwick-emulator/src/faults.rs
@@ -18,11 +18,14 @@
     /// The coordinator loses a third of the workers, both ways.
     CoordinatorCutFromWorkers,
     /// Answers of workers don't come back to the coordinator.
-    AnswersCut,
+    #[serde(rename = "answers_cut")]
+    RepliesDropped,
     /// The store is away, and its leases run out meanwhile.
-    StoreAway,
+    #[serde(rename = "store_away")]
+    StoreUnavailable,
     /// Writes take effect, but every second answer is lost.
-    StoreAnswersLost,
+    #[serde(rename = "store_answers_lost")]
+    StoreRepliesLost,
     /// Some workers crash and come back with another name.
     WorkersCrash,
     /// A part of the orders gets no answer and is carried out seconds later.
@@ -36,7 +39,8 @@
     /// What runs on some workers stands still; loads name it, it is not drawn.
     WorkersHang,
     /// All workers of one rack are without power; loads name it, it is not drawn.
-    RackOut,
+    #[serde(rename = "rack_out")]
+    RackPowerLoss,
     /// Some workers have half of their capacity; loads name it, it is not drawn.
     CapacityShrinks,
 }
@@ -47,9 +51,9 @@
     FaultKind::CoordinatorFrozen,
     FaultKind::CoordinatorCutFromStore,
     FaultKind::CoordinatorCutFromWorkers,
-    FaultKind::AnswersCut,
-    FaultKind::StoreAway,
-    FaultKind::StoreAnswersLost,
+    FaultKind::RepliesDropped,
+    FaultKind::StoreUnavailable,
+    FaultKind::StoreRepliesLost,
     FaultKind::WorkersCrash,
     FaultKind::OrdersLate,
     FaultKind::WorkersLeave,
--- a/ragwortwick-emulator/src/network.rs
+++ b/ragwortwick-emulator/src/network.rs
@@ -4,9 +4,9 @@
 use ragwortwick_core::WorkerName;
 use rand::Rng;
 
-use crate::simulation::{Happening, World};
+use crate::simulation::{Happening, Simulation};
 
-impl World {
+impl Simulation {
     pub(crate) fn send(&mut self, host: usize, term: u64, action: Action) {
         let is_order = !matches!(action, Action::Poll { .. });
         let is_late = self.orders_late && is_order && self.rng.random_bool(0.15);
--- a/ragwortwick-emulator/src/orders.rs
+++ b/ragwortwick-emulator/src/orders.rs
@@ -5,13 +5,13 @@
 use rand::Rng;
 
 use crate::invariants::StartSeen;
-use crate::simulation::{Happening, World};
+use crate::simulation::{Happening, Simulation};
 use crate::worker::{Attempt, EmuWorker, Presence, read_checkpoint};
 
 /// How long after it shrank a worker's capacity still counts as whole for what begins there.
 const SHRUNK_COUNTS_AFTER_MS: DurationMs = DurationMs(4_500);
 
-impl World {
+impl Simulation {
     pub(crate) fn deliver(
         &mut self,
         host: usize,
@@ -119,7 +119,7 @@
     }
 
     fn after_stop(&mut self, index: usize, task: &TaskId, run: u32) {
-        let stop_ms = self.options.load.stop_ms;
+        let stop_ms = self.options.workload.stop_ms;
         if stop_ms == 0 {
             self.end(index, task, EndKind::Stopped);
         } else {
@@ -240,7 +240,7 @@
             .shrunk_at
             .is_some_and(|at| self.now.since(at) <= SHRUNK_COUNTS_AFTER_MS);
         let capacity = if is_just_shrunk {
-            self.options.load.capacity
+            self.options.workload.capacity
         } else {
             worker.capacity
         };
--- a/ragwortwick-emulator/src/runs.rs
+++ b/ragwortwick-emulator/src/runs.rs
@@ -5,14 +5,14 @@
 use ragwortwick_area::{EndKind, Event, PollFailure, RefusalCause, TaskId};
 use ragwortwick_core::{DurationMs, WorkerName};
 
-use crate::simulation::{GangKey, Happening, World};
-use crate::value::WasteCause;
+use crate::simulation::{GangKey, Happening, Simulation};
+use crate::value::LostWorkCause;
 use crate::worker::{Presence, WaitingLook};
 
 /// How long a worker is away whose process a task has crashed.
 const CRASHED_FOR_MS: u64 = 3_000;
 
-impl World {
+impl Simulation {
     pub(crate) fn join_gang(&mut self, index: usize, task: &TaskId, run: u32, will_fail: bool) {
         let key = (task.job_id.clone(), task.occurrence, task.step, run);
         let now = self.now;
@@ -125,7 +125,7 @@
                 .jobs
                 .get(&task.job_id)
                 .is_some_and(|job| job.cancelled_at.is_some());
-            let why = WasteCause::of(kind, is_cancelled);
+            let why = LostWorkCause::of(kind, is_cancelled);
             let wasted = lost_ms * run.need.core_equivalents();
             *self.wasted_core_ms.entry(why).or_insert(0) += wasted;
         }
--- a/ragwortwick-emulator/src/simulation.rs
+++ b/ragwortwick-emulator/src/simulation.rs
@@ -16,10 +16,10 @@
 use crate::faults::Fault;
 use crate::host::Host;
 use crate::invariants::Truth;
-use crate::workload::Load;
 use crate::store::{Store, StoredJob};
-use crate::value::{Scale, Seen, WasteCause, Worth};
+use crate::value::{LostWorkCause, Scale, Seen, ValueReport};
 use crate::worker::{EmuWorker, Saving};
+use crate::workload::Workload;
 
 /// How often leases, gangs, elections and feeds are looked after.
 pub(crate) const TICK_MS: DurationMs = DurationMs(20);
@@ -30,9 +30,9 @@
 /// Quiet time after the last arrival and fault, in which every job has to come to its end.
 const SETTLE_MS: DurationMs = DurationMs(240_000);
 
-/// `Options` shapes a run.
+/// `SimulationOptions` shapes a run.
 #[derive(Clone, Debug)]
-pub struct Options {
+pub struct SimulationOptions {
     /// Seed of everything that is drawn.
     pub seed: u64,
     /// Number of workers.
@@ -40,28 +40,28 @@
     /// Workers in a rack.
     pub rack: u32,
     /// What comes in.
-    pub load: Load,
+    pub workload: Workload,
     /// Bounds of the installation.
     pub limits: Limits,
 }
 
-impl Default for Options {
+impl Default for SimulationOptions {
     fn default() -> Self {
         Self {
             seed: 1,
             workers: 24,
             rack: 8,
-            load: Load::default(),
+            workload: Workload::default(),
             limits: Limits::default(),
         }
     }
 }
 
-/// `Report` is what a run showed.
+/// `SimulationReport` is what a run showed.
 #[derive(Clone, Debug)]
-pub struct Report {
+pub struct SimulationReport {
     /// Broken promises, in words.
-    pub findings: Vec<String>,
+    pub violations: Vec<String>,
     /// Jobs that were accepted.
     pub jobs: usize,
     /// Jobs shown as completed.
@@ -71,13 +71,13 @@
     /// Runs stopped on order.
     pub stopped: u64,
     /// Runs whose lease ran out.
-    pub lapsed: u64,
+    pub expired: u64,
     /// Starts that were refused for want of a ticket.
-    pub without_ticket: u64,
+    pub ticket_refusals: u64,
     /// Core-seconds of work that was stopped or lost, by why.
-    pub wasted_core_s: BTreeMap<WasteCause, u64>,
+    pub lost_core_s: BTreeMap<LostWorkCause, u64>,
     /// What callers got of jobs without set times that were not cancelled and could be done.
-    pub worth: Worth,
+    pub value: ValueReport,
 }
 
 #[derive(Debug)]
@@ -127,10 +127,10 @@
     pub(crate) will_fail: bool,
 }
 
-/// `World` is one run.
+/// `Simulation` is one run.
 #[derive(Debug)]
-pub struct World {
-    pub(crate) options: Options,
+pub struct Simulation {
+    pub(crate) options: SimulationOptions,
     pub(crate) now: TimeMs,
     pub(crate) rng: Pcg64Mcg,
     pub(crate) queue: BinaryHeap<Reverse<(TimeMs, u64)>>,
@@ -151,30 +151,30 @@
     pub(crate) last_feed: TimeMs,
     pub(crate) last_renewal: TimeMs,
     pub(crate) completed_at: BTreeMap<JobId, TimeMs>,
-    pub(crate) wasted_core_ms: BTreeMap<WasteCause, u64>,
+    pub(crate) wasted_core_ms: BTreeMap<LostWorkCause, u64>,
 }
 
-impl World {
+impl Simulation {
     /// `new` draws a world.
     #[must_use]
-    pub fn new(options: Options, mut faults: Vec<Fault>) -> Self {
-        faults.extend(&options.load.faults);
+    pub fn new(options: SimulationOptions, mut faults: Vec<Fault>) -> Self {
+        faults.extend(&options.workload.faults);
         let racks = options.workers.div_ceil(options.rack.max(1));
-        let arrivals = Arrivals::draw(options.seed, &options.load, racks).jobs;
+        let arrivals = Arrivals::draw(options.seed, &options.workload, racks).jobs;
         let saving = Saving {
-            is_restored: options.load.restores,
+            is_restored: options.workload.restores,
             every_ms: options.limits.checkpoint_ms,
             restore_ms: options.limits.restore_ms,
         };
         let workers: Vec<EmuWorker> = (0..options.workers)
             .map(|number| {
                 let label = if number % 3 == 0 { "b" } else { "a" };
-                let speeds = &options.load.speeds_percent;
+                let speeds = &options.workload.speeds_percent;
                 EmuWorker::new(
                     u64::from(number),
                     number / options.rack.max(1),
                     label,
-                    options.load.capacity,
+                    options.workload.capacity,
                     speeds[number as usize % speeds.len()],
                     saving,
                 )
@@ -191,7 +191,7 @@
             .max()
             .unwrap_or_default();
         let last_arrival = arrivals.last().map(|job| job.at).unwrap_or_default();
-        let accelerators = u64::from(options.workers) * options.load.capacity.accelerators;
+        let accelerators = u64::from(options.workers) * options.workload.capacity.accelerators;
         let mut world = Self {
             now: TimeMs(0),
             rng: Pcg64Mcg::seed_from_u64(options.seed ^ 0x9e37),
@@ -204,7 +204,7 @@
             hosts: (0..3).map(|_| Host::default()).collect(),
             gangs: BTreeMap::new(),
             truth: Truth::default(),
-            desired: Arc::new(desired(&options.load, accelerators)),
+            desired: Arc::new(desired(&options.workload, accelerators)),
             advisor: Advisor::default(),
             orders_late: false,
             calm_from: last_fault.max(last_arrival),
@@ -248,7 +248,7 @@
 
     /// `run` plays everything and tells what was found.
     #[must_use]
-    pub fn run(mut self) -> Report {
+    pub fn run(mut self) -> SimulationReport {
         let end = self.calm_from + SETTLE_MS;
         while let Some(Reverse((at, number))) = self.queue.pop() {
             self.now = at;
@@ -274,10 +274,10 @@
             })
     }
 
-    fn finish(mut self) -> Report {
-        let mut worth = Worth::default();
+    fn finish(mut self) -> SimulationReport {
+        let mut worth = ValueReport::default();
         let arrived = self.arrivals.iter().map(|arrival| &*arrival.record);
-        let scale = Scale::of(&self.options.load, arrived);
+        let scale = Scale::of(&self.options.workload, arrived);
         let jobs: Vec<StoredJob> = self.store.jobs.values().cloned().collect();
         for job in &jobs {
             let phase = job.progress.as_ref().map_or(JobPhase::Queued, |p| p.phase);
@@ -303,20 +303,20 @@
                 worth.count(&scale, &job.record, &seen);
             }
         }
-        Report {
-            findings: self.truth.findings,
+        SimulationReport {
+            violations: self.truth.findings,
             jobs: jobs.len(),
             completed: self.completed_at.len(),
             starts: self.truth.starts,
             stopped: self.truth.stopped,
-            lapsed: self.truth.lapsed,
-            without_ticket: self.advisor.refused,
-            wasted_core_s: self
+            expired: self.truth.lapsed,
+            ticket_refusals: self.advisor.refused,
+            lost_core_s: self
                 .wasted_core_ms
                 .iter()
                 .map(|(&cause, &ms)| (cause, ms / 1_000))
                 .collect(),
-            worth,
+            value: worth,
         }
     }
 
--- a/ragwortwick-emulator/src/submissions.rs
+++ b/ragwortwick-emulator/src/submissions.rs
@@ -2,10 +2,10 @@
 
 use std::sync::Arc;
 
-use crate::simulation::{Happening, World};
+use crate::simulation::{Happening, Simulation};
 use crate::store::StoredJob;
 
-impl World {
+impl Simulation {
     pub(crate) fn arrive(&mut self, index: usize) {
         if self.store.is_away {
             self.after(200, Happening::Arrive(index));
--- a/ragwortwick-emulator/src/ticks.rs
+++ b/ragwortwick-emulator/src/ticks.rs
@@ -7,10 +7,10 @@
 use ragwortwick_core::DurationMs;
 
 use crate::host::Term;
-use crate::simulation::{FEED_MS, World};
+use crate::simulation::{FEED_MS, Simulation};
 use crate::store::LEASE_TTL_MS;
 
-impl World {
+impl Simulation {
     pub(crate) fn tick(&mut self) {
         for index in 0..self.workers.len() {
             self.tick_worker(index);
--- a/ragwortwick-emulator/src/value.rs
+++ b/ragwortwick-emulator/src/value.rs
@@ -7,21 +7,21 @@
 
 use crate::arrivals::as_float;
 use crate::invariants::Tally;
-use crate::workload::{Load, QueueLoad};
+use crate::workload::{QueueWorkload, Workload};
 
 /// Up to this many times its objective a job is late; past it, it is worth nothing to its caller.
 const LATE_LIMIT: u64 = 3;
 
-/// `Account` is worth that was owed, and what was earned of it.
+/// `ValueAccount` is worth that was owed, and what was earned of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Account {
-    /// Worth of all jobs that callers wait for.
+pub struct ValueAccount {
+    /// Value of all jobs that callers wait for.
     pub owed: f64,
-    /// Worth of those that they got, by how late.
+    /// Value of those that they got, by how late.
     pub earned: f64,
 }
 
-impl Account {
+impl ValueAccount {
     /// `share` is what was earned of what was owed; all if nothing was.
     #[must_use]
     pub fn share(&self) -> f64 {
@@ -38,10 +38,10 @@
     }
 }
 
-/// `LossCause` is the first of the things that befell a job whose worth was lost in part.
+/// `ValueLossCause` is the first of the things that befell a job whose worth was lost in part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum LossCause {
+pub enum ValueLossCause {
     /// A run of it failed.
     Failed,
     /// The lease of a run ran out.
@@ -54,10 +54,10 @@
     Slow,
 }
 
-/// `WasteCause` is why work was thrown away.
+/// `LostWorkCause` is why work was thrown away.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum WasteCause {
+pub enum LostWorkCause {
     /// It was stopped for other work, or since its worker was about to leave.
     Displaced,
     /// Its caller cancelled it.
@@ -70,7 +70,7 @@
     Lapsed,
 }
 
-impl WasteCause {
+impl LostWorkCause {
     pub(crate) fn of(kind: EndKind, is_cancelled: bool) -> Self {
         match kind {
             EndKind::Stopped if is_cancelled => Self::Cancelled,
@@ -82,9 +82,9 @@
     }
 }
 
-/// `Outcome` is what became of one job.
+/// `JobOutcome` is what became of one job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Outcome {
+pub struct JobOutcome {
     /// Its queue.
     pub queue: String,
     /// Its customer.
@@ -104,34 +104,35 @@
     /// Runs that were stopped.
     pub stopped: u32,
     /// Why something was lost, if so.
-    pub cause: Option<LossCause>,
+    pub cause: Option<ValueLossCause>,
 }
 
-/// `Worth` sums what callers got.
+/// `ValueReport` sums what callers got.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Worth {
+pub struct ValueReport {
     /// All jobs.
-    pub whole: Account,
+    #[serde(rename = "whole")]
+    pub total: ValueAccount,
     /// By queue.
-    pub by_queue: BTreeMap<String, Account>,
+    pub by_queue: BTreeMap<String, ValueAccount>,
     /// By customer.
-    pub by_customer: BTreeMap<String, Account>,
-    /// Worth that was lost, by cause.
-    pub lost: BTreeMap<LossCause, f64>,
+    pub by_customer: BTreeMap<String, ValueAccount>,
+    /// Value that was lost, by cause.
+    pub lost: BTreeMap<ValueLossCause, f64>,
     /// Every job.
-    pub outcomes: Vec<Outcome>,
+    pub outcomes: Vec<JobOutcome>,
 }
 
 /// `Scale` tells what a job is worth within its objective.
 pub(crate) struct Scale<'a> {
-    load: &'a Load,
+    load: &'a Workload,
     /// Mean work of a queue's jobs.
     means: BTreeMap<&'a str, f64>,
 }
 
 impl<'a> Scale<'a> {
     /// Weighs by the mean work of each queue's jobs that come in.
-    pub(crate) fn of(load: &'a Load, records: impl Iterator<Item = &'a JobRecord>) -> Self {
+    pub(crate) fn of(load: &'a Workload, records: impl Iterator<Item = &'a JobRecord>) -> Self {
         let mut sums: BTreeMap<&str, (f64, f64)> = BTreeMap::new();
         for record in records {
             let sum = sums.entry(record.queue.as_str()).or_default();
@@ -147,7 +148,7 @@
         }
     }
 
-    fn queue(&self, record: &JobRecord) -> Option<&QueueLoad> {
+    fn queue(&self, record: &JobRecord) -> Option<&QueueWorkload> {
         let name = record.queue.as_str();
         self.load.queues.iter().find(|queue| queue.name == name)
     }
@@ -159,7 +160,7 @@
     }
 }
 
-impl Worth {
+impl ValueReport {
     /// Takes in one job that its caller waited for.
     pub(crate) fn count(&mut self, scale: &Scale<'_>, record: &JobRecord, seen: &Seen) {
         let Some(queue) = scale.queue(record) else {
@@ -172,7 +173,7 @@
             _ => 0.0,
         };
         let (owed, earned) = (queue.weight * size, earned * size);
-        self.whole.add(owed, earned);
+        self.total.add(owed, earned);
         let of_queue = self.by_queue.entry(queue.name.clone()).or_default();
         of_queue.add(owed, earned);
         let customer = record.customer.as_str().to_owned();
@@ -182,7 +183,7 @@
         if let Some(cause) = cause {
             *self.lost.entry(cause).or_insert(0.0) += owed - earned;
         }
-        self.outcomes.push(Outcome {
+        self.outcomes.push(JobOutcome {
             queue: queue.name.clone(),
             customer,
             steps: record.steps_summary(),
@@ -208,20 +209,20 @@
 }
 
 impl Seen {
-    fn cause(&self) -> LossCause {
+    fn cause(&self) -> ValueLossCause {
         let begins_in_time = self
             .first_start_ms
             .is_some_and(|at| at + self.chain_ms <= self.objective_ms);
         if self.tally.failed > 0 {
-            LossCause::Failed
+            ValueLossCause::Failed
         } else if self.tally.lapsed > 0 {
-            LossCause::Lapsed
+            ValueLossCause::Lapsed
         } else if !begins_in_time {
-            LossCause::Waited
+            ValueLossCause::Waited
         } else if self.tally.stopped > 0 {
-            LossCause::Displaced
+            ValueLossCause::Displaced
         } else {
-            LossCause::Slow
+            ValueLossCause::Slow
         }
     }
 }
--- a/ragwortwick-emulator/src/workload.rs
+++ b/ragwortwick-emulator/src/workload.rs
@@ -9,10 +9,10 @@
 /// The load that the fixed seeds of the tests are drawn from.
 const ACCELERATORS: &str = include_str!("../loads/accelerators.json");
 
-/// `Load` is one installation and what comes in there.
+/// `Workload` is one installation and what comes in there.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Load {
+pub struct Workload {
     /// The load pattern, in words.
     pub about: String,
     /// What each worker has.
@@ -41,7 +41,7 @@
     /// Troubles that belong to the load, beside those that are drawn.
     pub faults: Vec<Fault>,
     /// The queues.
-    pub queues: Vec<QueueLoad>,
+    pub queues: Vec<QueueWorkload>,
 }
 
 /// `Burst` multiplies what a queue brings for a while.
@@ -58,10 +58,10 @@
     pub times: f64,
 }
 
-/// `QueueLoad` is what one queue's jobs look like.
+/// `QueueWorkload` is what one queue's jobs look like.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct QueueLoad {
+pub struct QueueWorkload {
     /// Name of the queue.
     pub name: String,
     /// Jobs a second.
@@ -79,7 +79,7 @@
     /// The same up to three times the objective.
     pub late_weight: f64,
     /// What one task takes beside accelerators.
-    pub need: NeedLoad,
+    pub need: TaskDemand,
     /// Accelerators of one task, of which each step draws one figure.
     pub accelerators: Vec<u64>,
     /// Mean number of tasks of a step.
@@ -114,27 +114,27 @@
     pub advised: bool,
 }
 
-/// `NeedLoad` is what a task takes beside accelerators.
+/// `TaskDemand` is what a task takes beside accelerators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct NeedLoad {
+pub struct TaskDemand {
     /// Processor time, in thousandths of a core.
     pub cpu_millis: u64,
     /// Memory.
     pub memory_mb: u64,
 }
 
-impl Default for Load {
+impl Default for Workload {
     fn default() -> Self {
         // A test plays this load, so a file that can't be read is noticed there.
         serde_json::from_str(ACCELERATORS).expect("the load that is built in is well-formed")
     }
 }
 
-impl Load {
-    /// `at_rates` sets how many jobs a second each queue brings, in their order.
+impl Workload {
+    /// `with_arrival_rates` sets how many jobs a second each queue brings, in their order.
     #[must_use]
-    pub fn at_rates(mut self, per_s: &[f64]) -> Self {
+    pub fn with_arrival_rates(mut self, per_s: &[f64]) -> Self {
         for (queue, &per_s) in self.queues.iter_mut().zip(per_s) {
             queue.per_s = per_s;
         }
@@ -150,9 +150,9 @@
         self
     }
 
-    /// `advised` lets the middle queue's jobs run only where an advisor allows them.
+    /// `with_advisor` lets the middle queue's jobs run only where an advisor allows them.
     #[must_use]
-    pub fn advised(mut self) -> Self {
+    pub fn with_advisor(mut self) -> Self {
         for queue in self.queues.iter_mut().filter(|queue| queue.priority == 1) {
             queue.advised = true;
         }
--- a/ragwortwick-emulator/tests/loads.rs
+++ b/ragwortwick-emulator/tests/loads.rs
@@ -2,7 +2,7 @@
 
 use ragwortwick_area::Limits;
 use ragwortwick_core::DurationMs;
-use ragwortwick_emulator::{Load, Options, World, Worth};
+use ragwortwick_emulator::{Simulation, SimulationOptions, ValueReport, Workload};
 
 const MEMORY: &str = include_str!("../loads/memory.json");
 const CROWD: &str = include_str!("../loads/crowd.json");
@@ -16,12 +16,12 @@
 const SEEDS: std::ops::Range<u64> = 1..13;
 
 /// Plays a load on all seeds at a multiple of its usual rates.
-fn play(load: &str, times: f64) -> Vec<Worth> {
-    let load: Load = serde_json::from_str(load).expect("a well-formed load");
+fn play(load: &str, times: f64) -> Vec<ValueReport> {
+    let load: Workload = serde_json::from_str(load).expect("a well-formed load");
     let load = load.scaled(times);
     SEEDS
         .map(|seed| {
-            let options = Options {
+            let options = SimulationOptions {
                 seed,
                 workers: 48,
                 limits: Limits {
@@ -29,18 +29,18 @@
                     checkpoint_ms: DurationMs(2_000),
                     ..Limits::default()
                 },
-                load: load.clone(),
-                ..Options::default()
+                workload: load.clone(),
+                ..SimulationOptions::default()
             };
-            let report = World::new(options, Vec::new()).run();
-            assert_eq!(report.findings, Vec::<String>::new(), "seed {seed}");
-            report.worth
+            let report = Simulation::new(options, Vec::new()).run();
+            assert_eq!(report.violations, Vec::<String>::new(), "seed {seed}");
+            report.value
         })
         .collect()
 }
 
 #[expect(clippy::cast_precision_loss, reason = "a number of seeds is small")]
-fn mean(worths: &[Worth], share: impl Fn(&Worth) -> f64) -> f64 {
+fn mean(worths: &[ValueReport], share: impl Fn(&ValueReport) -> f64) -> f64 {
     worths.iter().map(share).sum::<f64>() / worths.len() as f64
 }
 
@@ -71,7 +71,7 @@
     for file in files {
         let path = file.expect("an entry").path();
         let text = std::fs::read_to_string(&path).expect("a text");
-        let load: Result<Load, _> = serde_json::from_str(&text);
+        let load: Result<Workload, _> = serde_json::from_str(&text);
         let load = load.unwrap_or_else(|error| panic!("{}: {error}", path.display()));
         for burst in &load.bursts {
             let is_known = load.queues.iter().any(|queue| queue.name == burst.queue);
--- a/ragwortwick-emulator/tests/seeds.rs
+++ b/ragwortwick-emulator/tests/seeds.rs
@@ -2,21 +2,23 @@
 
 use ragwortwick_area::Limits;
 use ragwortwick_core::{DurationMs, TimeMs};
-use ragwortwick_emulator::{Fault, FaultKind, Load, Options, Report, World, draw_faults};
+use ragwortwick_emulator::{
+    Fault, FaultKind, Simulation, SimulationOptions, SimulationReport, Workload, draw_faults,
+};
 
-fn play(seed: u64, faults: Vec<Fault>) -> Report {
-    let options = Options {
+fn play(seed: u64, faults: Vec<Fault>) -> SimulationReport {
+    let options = SimulationOptions {
         seed,
-        ..Options::default()
+        ..SimulationOptions::default()
     };
-    World::new(options, faults).run()
+    Simulation::new(options, faults).run()
 }
 
-fn assert_held(seed: u64, faults: &[Fault], report: &Report) {
+fn assert_held(seed: u64, faults: &[Fault], report: &SimulationReport) {
     assert!(
-        report.findings.is_empty(),
+        report.violations.is_empty(),
         "seed {seed}, faults {faults:?}: {:?}",
-        report.findings
+        report.violations
     );
 }
 
@@ -77,14 +79,14 @@
 #[test]
 fn verify_outage_of_the_store_kills_no_work() {
     let outage = Fault {
-        kind: FaultKind::StoreAway,
+        kind: FaultKind::StoreUnavailable,
         at: TimeMs(8_000),
         for_ms: DurationMs(5_000),
     };
     for seed in 400..404 {
         let report = play(seed, vec![outage]);
         assert_held(seed, &[outage], &report);
-        assert_eq!(report.lapsed, 0, "seed {seed}: runs lost their lease");
+        assert_eq!(report.expired, 0, "seed {seed}: runs lost their lease");
     }
 }
 
@@ -94,16 +96,16 @@
 fn verify_promises_hold_with_short_leases() {
     for seed in 500..506 {
         let faults = draw_faults(seed, 4, TimeMs(20_000));
-        let options = Options {
+        let options = SimulationOptions {
             seed,
             limits: Limits {
                 lease_ms: DurationMs(6_000),
                 ..Limits::default()
             },
-            load: Load::default().at_rates(&[1.9, 0.7, 1.0]),
-            ..Options::default()
+            workload: Workload::default().with_arrival_rates(&[1.9, 0.7, 1.0]),
+            ..SimulationOptions::default()
         };
-        let report = World::new(options, faults.clone()).run();
+        let report = Simulation::new(options, faults.clone()).run();
         assert_held(seed, &faults, &report);
     }
 }
@@ -115,14 +117,14 @@
 fn verify_promises_hold_with_an_advisor() {
     for seed in 600..612 {
         let faults = draw_faults(seed, 3, TimeMs(20_000));
-        let options = Options {
+        let options = SimulationOptions {
             seed,
-            load: Load::default().advised(),
-            ..Options::default()
+            workload: Workload::default().with_advisor(),
+            ..SimulationOptions::default()
         };
-        let report = World::new(options, faults.clone()).run();
+        let report = Simulation::new(options, faults.clone()).run();
         assert_held(seed, &faults, &report);
-        assert!(report.without_ticket * 50 <= report.starts, "seed {seed}");
+        assert!(report.ticket_refusals * 50 <= report.starts, "seed {seed}");
     }
 }
 
@@ -133,17 +135,17 @@
 fn verify_work_goes_on_after_a_cut_that_outlasts_the_leases() {
     for seed in [20_005, 20_076, 20_082, 20_129] {
         let faults = draw_faults(seed, 4, TimeMs(20_000));
-        let options = Options {
+        let options = SimulationOptions {
             seed,
             workers: 48,
             limits: Limits {
                 lease_ms: DurationMs(6_000),
                 ..Limits::default()
             },
-            load: Load::default().scaled(1.8),
-            ..Options::default()
+            workload: Workload::default().scaled(1.8),
+            ..SimulationOptions::default()
         };
-        let report = World::new(options, faults.clone()).run();
+        let report = Simulation::new(options, faults.clone()).run();
         assert_held(seed, &faults, &report);
     }
 }
@@ -154,15 +156,15 @@
 
 /// Plays a load on sixteen seeds from the given one, without and with troubles beside its own.
 fn assert_load_holds(load: &str, first: u64) {
-    let load: Load = serde_json::from_str(load).expect("a well-formed load");
+    let load: Workload = serde_json::from_str(load).expect("a well-formed load");
     for (seed, troubles) in (first..first + 16).zip([0, 1, 2].into_iter().cycle()) {
         let faults = draw_faults(seed, troubles, TimeMs(20_000));
-        let options = Options {
+        let options = SimulationOptions {
             seed,
-            load: load.clone(),
-            ..Options::default()
+            workload: load.clone(),
+            ..SimulationOptions::default()
         };
-        let report = World::new(options, faults.clone()).run();
+        let report = Simulation::new(options, faults.clone()).run();
         assert_held(seed, &faults, &report);
     }
 }
@@ -184,13 +186,13 @@
 fn verify_nothing_is_started_after_an_end_that_is_listed_late() {
     let seed = 10_060;
     let faults = draw_faults(seed, 3, TimeMs(20_000));
-    let options = Options {
+    let options = SimulationOptions {
         seed,
         workers: 48,
-        load: Load::default().scaled(2.0),
-        ..Options::default()
+        workload: Workload::default().scaled(2.0),
+        ..SimulationOptions::default()
     };
-    let report = World::new(options, faults.clone()).run();
+    let report = Simulation::new(options, faults.clone()).run();
     assert_held(seed, &faults, &report);
 }
 
@@ -199,11 +201,11 @@
 fn verify_a_crash_that_could_not_be_stored_still_counts() {
     let seed = 494;
     let faults = draw_faults(seed, 3, TimeMs(20_000));
-    let options = Options {
+    let options = SimulationOptions {
         seed,
-        load: serde_json::from_str(CRASHERS).expect("a well-formed load"),
-        ..Options::default()
+        workload: serde_json::from_str(CRASHERS).expect("a well-formed load"),
+        ..SimulationOptions::default()
     };
-    let report = World::new(options, faults.clone()).run();
+    let report = Simulation::new(options, faults.clone()).run();
     assert_held(seed, &faults, &report);
 }
