--- a/ragwortwick-area/src/allocation.rs
+++ b/ragwortwick-area/src/allocation.rs
@@ -4,11 +4,11 @@
 
 use ragwortwick_core::{DurationMs, TimeMs};
 
-use crate::account::OverWhy;
+use crate::accounting::OverWhy;
 use crate::colocation::ColocationRole;
 use crate::crashes::CrashRecord;
 use crate::job::{Resources, StepSpec};
-use crate::watch::Watch;
+use crate::progress_tracker::Watch;
 
 /// `AllocationPhase` tells how sure it is that a run is on its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/ragwortwick-area/src/coordinator.rs
+++ b/ragwortwick-area/src/coordinator.rs
@@ -5,7 +5,7 @@
 
 use ragwortwick_core::{ClassName, DurationMs, JobId, PoolName, TimeMs, WorkerName};
 
-use crate::account::OverWhy;
+use crate::accounting::OverWhy;
 use crate::advice::AdvisorState;
 use crate::desired::DesiredState;
 use crate::headroom::UrgentDemandPeak;
@@ -15,7 +15,7 @@
 use crate::losses::Losses;
 use crate::messages::{Action, Event, WorkerEntry};
 use crate::progress::{JobPhase, JobProgress};
-use crate::records::Records;
+use crate::record_batches::Records;
 use crate::value::total_work;
 use crate::worker::Worker;
 
--- a/ragwortwick-area/src/leaving.rs
+++ b/ragwortwick-area/src/draining.rs
@@ -6,7 +6,7 @@
 
 use ragwortwick_core::{DurationMs, TimeMs};
 
-use crate::account::OverWhy;
+use crate::accounting::OverWhy;
 use crate::allocation::AllocationPhase;
 use crate::coordinator::Coordinator;
 use crate::job::TaskId;
--- a/ragwortwick-area/src/job_state.rs
+++ b/ragwortwick-area/src/job_state.rs
@@ -4,7 +4,7 @@
 
 use ragwortwick_core::{DurationMs, TimeMs, WorkerName};
 
-use crate::account::JobAccount;
+use crate::accounting::JobAccount;
 use crate::backoff::Backoff;
 use crate::crashes::CrashRecord;
 use crate::job::{JobRecord, StepSpec, TaskId};
--- a/ragwortwick-area/src/late_completions.rs
+++ b/ragwortwick-area/src/late_completions.rs
@@ -5,7 +5,7 @@
 
 use ragwortwick_core::TimeMs;
 
-use crate::account::OverWhy;
+use crate::accounting::OverWhy;
 use crate::coordinator::Coordinator;
 use crate::job::TaskId;
 use crate::job_state::TaskState;
--- a/ragwortwick-area/src/lib.rs
+++ b/ragwortwick-area/src/lib.rs
@@ -3,33 +3,34 @@
 //! The coordinator learns by events and asks for actions; the present time is an argument. What it
 //! promises and why each safeguard is enough stands in docs/design/0050-platform.md.
 
-mod account;
+mod accounting;
 mod advice;
 mod allocation;
 mod backoff;
 mod candidates;
-mod check;
 mod colocation;
 mod coordinator;
 mod crashes;
 mod desired;
+mod draining;
 mod headroom;
 mod job;
 mod job_state;
 mod late_completions;
-mod leaving;
 mod limits;
 mod losses;
 mod messages;
 mod outcome;
 mod packing;
+mod persistence;
 mod placement;
 mod polls;
 mod pool_capacity;
 mod preemption;
 mod preemption_plan;
 mod progress;
-mod records;
+mod progress_tracker;
+mod record_batches;
 mod recovery;
 mod reservation;
 mod run_ends;
@@ -37,13 +38,11 @@
 mod stalls;
 mod starts;
 mod stops;
-mod stored;
+mod validation;
 mod value;
-mod watch;
 mod worker;
 
-pub use account::{JobAccount, Loss, OverWhy};
-pub use check::JobProblem;
+pub use accounting::{JobAccount, Loss, OverWhy};
 pub use coordinator::{Coordinator, Now, RecoveredJob};
 pub use desired::{Customer, DesiredState, Queue};
 pub use job::{
@@ -56,4 +55,5 @@
     RefusalCause, RunEnded, RunningTask, WorkerEntry, WorkerReport,
 };
 pub use progress::{GangProgress, JobPhase, JobProgress, TaskProgress};
-pub use records::MAX_BATCH_RECORDS;
+pub use record_batches::MAX_BATCH_RECORDS;
+pub use validation::JobProblem;
--- a/ragwortwick-area/src/messages.rs
+++ b/ragwortwick-area/src/messages.rs
@@ -6,7 +6,7 @@
     DurationMs, JobId, LabelName, PoolName, RackName, TimeMs, WorkerName, ZoneName,
 };
 
-use crate::account::{JobAccount, OverWhy};
+use crate::accounting::{JobAccount, OverWhy};
 use crate::desired::DesiredState;
 use crate::job::{JobRecord, Resources, StepId, TaskId};
 use crate::losses::WorkerLost;
--- a/ragwortwick-area/src/stored.rs
+++ b/ragwortwick-area/src/persistence.rs
@@ -4,7 +4,7 @@
 
 use ragwortwick_core::{TimeMs, WorkerName};
 
-use crate::account::JobAccount;
+use crate::accounting::JobAccount;
 use crate::crashes::CrashRecord;
 use crate::job::TaskId;
 use crate::job_state::{JobState, TaskState};
--- a/ragwortwick-area/src/preemption.rs
+++ b/ragwortwick-area/src/preemption.rs
@@ -4,7 +4,7 @@
 
 use ragwortwick_core::{CustomerName, JobId, TimeMs, WorkerName};
 
-use crate::account::OverWhy;
+use crate::accounting::OverWhy;
 use crate::allocation::Allocation;
 use crate::candidates::Candidate;
 use crate::coordinator::Coordinator;
--- a/ragwortwick-area/src/recovery.rs
+++ b/ragwortwick-area/src/recovery.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use crate::account::OverWhy;
+use crate::accounting::OverWhy;
 use crate::allocation::{Allocation, AllocationPhase};
 use crate::coordinator::{
     Coordinator, Now, RENEWAL_AFTER_LEASE_LOSS_MS, RecoveredJob, unix_to_steady,
--- a/ragwortwick-area/src/speed.rs
+++ b/ragwortwick-area/src/speed.rs
@@ -9,7 +9,7 @@
 use crate::allocation::Allocation;
 use crate::coordinator::Coordinator;
 use crate::job::TaskId;
-use crate::watch::Watch;
+use crate::progress_tracker::Watch;
 
 /// Least share of a run, in per cent, that its whole duration is told from.
 const LEAST_SEEN_PERCENT: u32 = 25;
--- a/ragwortwick-area/src/stalls.rs
+++ b/ragwortwick-area/src/stalls.rs
@@ -8,13 +8,13 @@
 
 use ragwortwick_core::{DurationMs, TimeMs, WorkerName};
 
-use crate::account::OverWhy;
+use crate::accounting::OverWhy;
 use crate::allocation::{Allocation, AllocationPhase};
 use crate::coordinator::Coordinator;
 use crate::job::TaskId;
 use crate::job_state::TaskState;
 use crate::messages::WorkerReport;
-use crate::watch::{Movement, Watch};
+use crate::progress_tracker::{Movement, Watch};
 use crate::worker::Worker;
 
 /// How long a worker with stalled runs gets no new work after the look that showed it.
--- a/ragwortwick-area/src/starts.rs
+++ b/ragwortwick-area/src/starts.rs
@@ -4,13 +4,13 @@
 
 use ragwortwick_core::{DurationMs, JobId, TimeMs, WorkerName};
 
-use crate::account::OverWhy;
+use crate::accounting::OverWhy;
 use crate::allocation::{Allocation, AllocationPhase};
 use crate::coordinator::Coordinator;
 use crate::job::TaskId;
 use crate::messages::{Action, OrderReply, RefusalCause};
 use crate::outcome::RunOutcome;
-use crate::watch::Watch;
+use crate::progress_tracker::Watch;
 use crate::worker::Worker;
 
 /// Pause before an order without an answer is sent again.
--- a/ragwortwick-area/src/stops.rs
+++ b/ragwortwick-area/src/stops.rs
@@ -4,7 +4,7 @@
 
 use ragwortwick_core::{DurationMs, TimeMs, WorkerName};
 
-use crate::account::OverWhy;
+use crate::accounting::OverWhy;
 use crate::allocation::AllocationPhase;
 use crate::coordinator::Coordinator;
 use crate::job::TaskId;
