--- a/ragwortwick-area/src/accounting.rs
+++ b/ragwortwick-area/src/accounting.rs
@@ -5,11 +5,11 @@
 
 use ragwortwick_core::{DurationMs, JobId, TimeMs, common};
 
-use crate::losses::WorkerLoss;
+use crate::losses::WorkerLossCause;
 
-/// `OverWhy` is how a run came to be over.
+/// `RunEndReason` is how a run came to be over.
 #[common(key)]
-pub enum OverWhy {
+pub enum RunEndReason {
     /// It did its work.
     Done,
     /// It failed.
@@ -38,26 +38,26 @@
     NotThere,
 }
 
-impl From<WorkerLoss> for OverWhy {
-    fn from(loss: WorkerLoss) -> Self {
+impl From<WorkerLossCause> for RunEndReason {
+    fn from(loss: WorkerLossCause) -> Self {
         match loss {
-            WorkerLoss::Crashed => Self::WorkerCrashed,
-            WorkerLoss::Left => Self::WorkerLeft,
-            WorkerLoss::OutOfReach => Self::WorkerSilent,
+            WorkerLossCause::Crashed => Self::WorkerCrashed,
+            WorkerLossCause::Left => Self::WorkerLeft,
+            WorkerLossCause::OutOfReach => Self::WorkerSilent,
         }
     }
 }
 
-impl fmt::Display for OverWhy {
+impl fmt::Display for RunEndReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{self:?}")
     }
 }
 
-/// `Loss` is what runs that were over without having done their work had taken.
+/// `LostWork` is what runs that were over without having done their work had taken.
 #[common]
 #[derive(Copy, Default)]
-pub struct Loss {
+pub struct LostWork {
     /// Number of runs.
     pub runs: u32,
     /// Work that has to be done again, in core-equivalents times milliseconds.
@@ -79,12 +79,12 @@
     Over,
 }
 
-/// `JobAccount` tells how a job spent its time under one coordinator.
+/// `JobAccounting` tells how a job spent its time under one coordinator.
 ///
 /// The four spans follow one another and add up to the time from acceptance, or from the beginning of the
 /// term, to the end. A job with set times also spends the time between them as `again_ms`.
 #[common]
-pub struct JobAccount {
+pub struct JobAccounting {
     /// Whether this coordinator knew the job from its acceptance.
     pub is_whole: bool,
     /// Time before its first run was placed.
@@ -100,7 +100,7 @@
     /// Runs that were placed.
     pub starts: u32,
     /// Runs over without having done their work, by cause.
-    pub losses: BTreeMap<OverWhy, Loss>,
+    pub losses: BTreeMap<RunEndReason, LostWork>,
     /// The job that took its room last.
     pub displaced_by: Option<JobId>,
     /// The longest that a run was in vain since something was placed last.
@@ -109,7 +109,7 @@
     since: TimeMs,
 }
 
-impl JobAccount {
+impl JobAccounting {
     /// `begin` opens the account of a job that may start at the given time.
     pub(crate) fn begin(since: TimeMs) -> Self {
         Self {
@@ -167,7 +167,7 @@
     }
 
     /// `lost` notes a run that is over without having done its work, after so long in vain.
-    pub(crate) fn lost(&mut self, why: OverWhy, vain_ms: DurationMs, core_ms: u64) {
+    pub(crate) fn lost(&mut self, why: RunEndReason, vain_ms: DurationMs, core_ms: u64) {
         let loss = self.losses.entry(why).or_default();
         loss.runs += 1;
         loss.core_ms += core_ms;
--- a/ragwortwick-area/src/allocation.rs
+++ b/ragwortwick-area/src/allocation.rs
@@ -4,11 +4,11 @@
 
 use ragwortwick_core::{DurationMs, TimeMs};
 
-use crate::accounting::OverWhy;
+use crate::accounting::RunEndReason;
 use crate::colocation::ColocationRole;
-use crate::crashes::CrashRecord;
+use crate::crashes::CrashHistory;
 use crate::job::{Resources, StepSpec};
-use crate::progress_tracker::Watch;
+use crate::progress_tracker::ProgressTracker;
 
 /// `AllocationPhase` tells how sure it is that a run is on its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -32,7 +32,7 @@
     /// It has to stop.
     Stopping {
         /// Why.
-        why: OverWhy,
+        why: RunEndReason,
         /// When the stop was last sent; none before the first.
         sent_at: Option<TimeMs>,
         /// Whether an answer is still awaited.
@@ -44,7 +44,7 @@
 
 impl AllocationPhase {
     /// A stop that was not sent yet.
-    pub(crate) fn stop_pending(why: OverWhy) -> Self {
+    pub(crate) fn stop_pending(why: RunEndReason) -> Self {
         Self::Stopping {
             why,
             sent_at: None,
@@ -73,7 +73,7 @@
     /// How often its start was sent.
     pub(crate) start_attempts: u32,
     /// Crashes of workers under its task before it began.
-    pub(crate) crash_history: CrashRecord,
+    pub(crate) crash_history: CrashHistory,
     /// What it is to others on its worker.
     pub(crate) role: ColocationRole,
     /// Whether it goes on from a checkpoint if it is stopped.
@@ -83,7 +83,7 @@
     /// Whether its progress tells something: what lasts has none, and fillers are slowed down.
     pub(crate) is_tracked: bool,
     /// Its progress as last told.
-    pub(crate) tracker: Option<Watch>,
+    pub(crate) tracker: Option<ProgressTracker>,
     /// The load that its worker told last.
     pub(crate) load: u32,
     /// The pace that its worker knows of; none if that is in doubt.
@@ -103,7 +103,7 @@
             checkpoint: "".into(),
             is_resumed: false,
             start_attempts: 0,
-            crash_history: CrashRecord::default(),
+            crash_history: CrashHistory::default(),
             role: ColocationRole::of(spec),
             saves_checkpoints: spec.saves_checkpoints,
             expected_ms: spec.estimate_ms,
--- a/ragwortwick-area/src/backoff.rs
+++ b/ragwortwick-area/src/backoff.rs
@@ -11,14 +11,14 @@
 /// Longest pause: the reason may have been mended meanwhile.
 const MOST_MS: u64 = 8_000;
 
-/// `Backoff` is the pause of one job.
+/// `StartBackoff` is the pause of one job.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Backoff {
+pub(crate) struct StartBackoff {
     refusals_in_row: u32,
     until: TimeMs,
 }
 
-impl Backoff {
+impl StartBackoff {
     /// When the job may start again; none if it may now.
     pub(crate) fn waits_until(&self, now: TimeMs) -> Option<TimeMs> {
         (now < self.until).then_some(self.until)
--- a/ragwortwick-area/src/coordinator.rs
+++ b/ragwortwick-area/src/coordinator.rs
@@ -5,17 +5,17 @@
 
 use ragwortwick_core::{ClassName, DurationMs, JobId, PoolName, TimeMs, WorkerName};
 
-use crate::accounting::OverWhy;
+use crate::accounting::RunEndReason;
 use crate::advice::AdvisorState;
 use crate::desired::DesiredState;
 use crate::headroom::UrgentDemandPeak;
 use crate::job::{JobRecord, QueuePolicy, StepId};
 use crate::job_state::JobState;
 use crate::limits::Limits;
-use crate::losses::Losses;
+use crate::losses::RecentLosses;
 use crate::messages::{Action, Event, WorkerEntry};
 use crate::progress::{JobPhase, JobProgress};
-use crate::record_batches::Records;
+use crate::record_batches::RecordBatches;
 use crate::value::total_work;
 use crate::worker::Worker;
 
@@ -80,7 +80,7 @@
     pub(crate) jobs: BTreeMap<JobId, JobState>,
     /// Jobs that are not over, so that a pass doesn't go through all that ever were.
     pub(crate) open_jobs: BTreeSet<JobId>,
-    pub(crate) records: Records,
+    pub(crate) records: RecordBatches,
     pub(crate) advice: AdvisorState,
     pub(crate) actions: Vec<Action>,
     pub(crate) lease_valid_until: TimeMs,
@@ -106,7 +106,7 @@
     /// Recent peak of urgent demand in each pool.
     pub(crate) urgent_peaks: BTreeMap<PoolName, UrgentDemandPeak>,
     /// Workers that were lost lately.
-    pub(crate) losses: Losses,
+    pub(crate) losses: RecentLosses,
     /// Steps for which others were stopped, and when that was.
     pub(crate) preempted_for: BTreeMap<StepId, TimeMs>,
 }
@@ -129,7 +129,7 @@
             workers: BTreeMap::new(),
             jobs: BTreeMap::new(),
             open_jobs: BTreeSet::new(),
-            records: Records::default(),
+            records: RecordBatches::default(),
             advice: AdvisorState::default(),
             actions: Vec::new(),
             lease_valid_until: now.steady,
@@ -146,7 +146,7 @@
             submitted_work: BTreeMap::new(),
             reserved_workers: BTreeSet::new(),
             urgent_peaks: BTreeMap::new(),
-            losses: Losses::default(),
+            losses: RecentLosses::default(),
             preempted_for: BTreeMap::new(),
         };
         for entry in entries {
@@ -368,7 +368,7 @@
         self.records.mark(job_id);
         let is_completed = self.phase(job_id) == Some(JobPhase::Completed);
         if !is_completed {
-            self.stop_matching(now, OverWhy::JobOver, |task| task.job_id == *job_id);
+            self.stop_matching(now, RunEndReason::JobOver, |task| task.job_id == *job_id);
         }
     }
 }
--- a/ragwortwick-area/src/crashes.rs
+++ b/ragwortwick-area/src/crashes.rs
@@ -20,16 +20,16 @@
 /// How far apart crashes at the same point of a task's work may lie, beside a quarter of the time to it.
 const SAME_POINT_MS: DurationMs = DurationMs(250);
 
-/// `CrashRecord` is the evidence against one task.
+/// `CrashHistory` is the evidence against one task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct CrashRecord {
+pub(crate) struct CrashHistory {
     /// Crashes at the same point of its work, less those at other points.
     pub(crate) count: u32,
     /// How long its run had been going at the last one.
     pub(crate) age_ms: DurationMs,
 }
 
-impl CrashRecord {
+impl CrashHistory {
     /// Whether the task is to start with nothing else, so that no other is at the same point as it.
     pub(crate) fn starts_alone(self) -> bool {
         self.count > u32::from(self.age_ms >= STARTING_MS)
@@ -68,7 +68,7 @@
     pub(crate) task: TaskId,
     /// How long it had been going; none if that is not known.
     pub(crate) age_ms: Option<DurationMs>,
-    pub(crate) crashes: CrashRecord,
+    pub(crate) crashes: CrashHistory,
 }
 
 impl RunAtLoss {
--- a/ragwortwick-area/src/draining.rs
+++ b/ragwortwick-area/src/draining.rs
@@ -6,7 +6,7 @@
 
 use ragwortwick_core::{DurationMs, TimeMs};
 
-use crate::accounting::OverWhy;
+use crate::accounting::RunEndReason;
 use crate::allocation::AllocationPhase;
 use crate::coordinator::Coordinator;
 use crate::job::TaskId;
@@ -33,7 +33,7 @@
             }
         }
         for task in leaving {
-            self.stop_with_gang(now, &task, OverWhy::WorkerLeaves);
+            self.stop_with_gang(now, &task, RunEndReason::WorkerLeaves);
         }
     }
 }
--- a/ragwortwick-area/src/job_state.rs
+++ b/ragwortwick-area/src/job_state.rs
@@ -4,9 +4,9 @@
 
 use ragwortwick_core::{DurationMs, TimeMs, WorkerName};
 
-use crate::accounting::JobAccount;
-use crate::backoff::Backoff;
-use crate::crashes::CrashRecord;
+use crate::accounting::JobAccounting;
+use crate::backoff::StartBackoff;
+use crate::crashes::CrashHistory;
 use crate::job::{JobRecord, StepSpec, TaskId};
 use crate::outcome::{FollowUp, RunOutcome, apply_gang_outcome, apply_task_outcome};
 use crate::progress::JobPhase;
@@ -30,7 +30,7 @@
     pub(crate) state: TaskState,
     pub(crate) last_run: u32,
     pub(crate) failures: u32,
-    pub(crate) crash_history: CrashRecord,
+    pub(crate) crash_history: CrashHistory,
     pub(crate) checkpoint: Arc<str>,
 }
 
@@ -55,7 +55,7 @@
             state: TaskState::Waiting,
             last_run: 0,
             failures: 0,
-            crash_history: CrashRecord::default(),
+            crash_history: CrashHistory::default(),
             checkpoint: "".into(),
         };
         Self {
@@ -96,10 +96,10 @@
     /// When a run of it was over last; its acceptance before the first.
     pub(crate) last_run_ended_at: TimeMs,
     /// Its pause after starts that were refused.
-    pub(crate) backoff: Backoff,
+    pub(crate) backoff: StartBackoff,
     /// How often its runs were started elsewhere because they stood still.
     pub(crate) stall_restarts: u32,
-    pub(crate) accounting: JobAccount,
+    pub(crate) accounting: JobAccounting,
 }
 
 impl JobState {
@@ -113,9 +113,9 @@
             accepted_at,
             ended_at: None,
             last_run_ended_at: accepted_at,
-            backoff: Backoff::default(),
+            backoff: StartBackoff::default(),
             stall_restarts: 0,
-            accounting: JobAccount::begin(accepted_at),
+            accounting: JobAccounting::begin(accepted_at),
         }
     }
 
--- a/ragwortwick-area/src/late_completions.rs
+++ b/ragwortwick-area/src/late_completions.rs
@@ -5,7 +5,7 @@
 
 use ragwortwick_core::TimeMs;
 
-use crate::accounting::OverWhy;
+use crate::accounting::RunEndReason;
 use crate::coordinator::Coordinator;
 use crate::job::TaskId;
 use crate::job_state::TaskState;
@@ -25,7 +25,7 @@
             return;
         }
         let is_over = job.mark_done(task);
-        self.stop_with_gang(now, task, OverWhy::DoneBefore);
+        self.stop_with_gang(now, task, RunEndReason::DoneBefore);
         if is_over {
             self.end_job(now, &task.job_id);
         }
--- a/ragwortwick-area/src/lib.rs
+++ b/ragwortwick-area/src/lib.rs
@@ -42,18 +42,18 @@
 mod value;
 mod worker;
 
-pub use accounting::{JobAccount, Loss, OverWhy};
+pub use accounting::{JobAccounting, LostWork, RunEndReason};
 pub use coordinator::{Coordinator, Now, RecoveredJob};
 pub use desired::{Customer, DesiredState, Queue};
 pub use job::{
     AdvisorTiming, JobRecord, QueuePolicy, Resources, Schedule, StepId, StepSpec, TaskId,
 };
 pub use limits::{Limits, Weights};
-pub use losses::{Silence, SilenceKind, WorkerLoss, WorkerLost};
+pub use losses::{ContactLoss, ContactLossKind, WorkerLossCause, WorkerLossReport};
 pub use messages::{
     Action, AdviceReply, EndKind, EndedTask, Event, OrderReply, PollFailure, ProgressRecord,
     RefusalCause, RunEnded, RunningTask, WorkerEntry, WorkerReport,
 };
 pub use progress::{GangProgress, JobPhase, JobProgress, TaskProgress};
 pub use record_batches::MAX_BATCH_RECORDS;
-pub use validation::JobProblem;
+pub use validation::JobValidationError;
--- a/ragwortwick-area/src/losses.rs
+++ b/ragwortwick-area/src/losses.rs
@@ -27,9 +27,9 @@
 /// How long a loss is remembered: its neighbours come back, or don't, within seconds.
 const REMEMBERED_MS: DurationMs = DurationMs(15_000);
 
-/// `WorkerLoss` is how a worker came to be lost.
+/// `WorkerLossCause` is how a worker came to be lost.
 #[common(key)]
-pub enum WorkerLoss {
+pub enum WorkerLossCause {
     /// Another life answers at its address, and it had not said that it would leave.
     Crashed,
     /// It had said that it would leave.
@@ -38,15 +38,15 @@
     OutOfReach,
 }
 
-impl fmt::Display for WorkerLoss {
+impl fmt::Display for WorkerLossCause {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{self:?}")
     }
 }
 
-/// `SilenceKind` is how it showed that a worker no longer answers.
+/// `ContactLossKind` is how it showed that a worker no longer answers.
 #[common(key)]
-pub enum SilenceKind {
+pub enum ContactLossKind {
     /// Its machine closed or refused the connection: the process had ended, or the path was reset.
     Closed,
     /// Nothing answered.
@@ -55,40 +55,40 @@
     Unseen,
 }
 
-/// `Silence` is since when a worker does not answer, and how that showed.
+/// `ContactLoss` is since when a worker does not answer, and how that showed.
 #[common]
 #[derive(Copy)]
-pub struct Silence {
+pub struct ContactLoss {
     /// When the first call failed.
     pub since: TimeMs,
     /// How that showed.
-    pub kind: SilenceKind,
+    pub kind: ContactLossKind,
 }
 
-impl Silence {
+impl ContactLoss {
     /// Whether two workers fell silent at the same time and in the same way, as far as that can be told.
     fn is_together(self, other: Self) -> bool {
         let (early, late) = (self.since.min(other.since), self.since.max(other.since));
         let within_ms = match self.kind {
-            SilenceKind::Closed => TOGETHER_CLOSED_MS,
-            SilenceKind::Unanswered => TOGETHER_UNANSWERED_MS,
-            SilenceKind::Unseen => TOGETHER_UNSEEN_MS,
+            ContactLossKind::Closed => TOGETHER_CLOSED_MS,
+            ContactLossKind::Unanswered => TOGETHER_UNANSWERED_MS,
+            ContactLossKind::Unseen => TOGETHER_UNSEEN_MS,
         };
         self.kind == other.kind && late.since(early) <= within_ms
     }
 }
 
-/// `WorkerLost` tells of a lost worker, for the log.
+/// `WorkerLossReport` tells of a lost worker, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WorkerLost {
+pub struct WorkerLossReport {
     /// The worker.
     pub worker: WorkerName,
     /// Its rack.
     pub rack: RackName,
     /// How it came to be lost.
-    pub loss: WorkerLoss,
+    pub loss: WorkerLossCause,
     /// How it fell silent; none if it was lost before any call failed.
-    pub silence: Option<Silence>,
+    pub silence: Option<ContactLoss>,
     /// Runs that were lost with it, with how long each had been running; none if that is not known.
     pub runs: Vec<(TaskId, Option<DurationMs>)>,
     /// Workers with runs that fell silent at the same time.
@@ -101,7 +101,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct PastLoss {
     worker: WorkerName,
-    silence: Silence,
+    silence: ContactLoss,
     is_explained: bool,
 }
 
@@ -110,20 +110,20 @@
 struct LostWorker {
     worker: WorkerName,
     rack: RackName,
-    cause: WorkerLoss,
-    silence: Option<Silence>,
+    cause: WorkerLossCause,
+    silence: Option<ContactLoss>,
     runs: Vec<RunAtLoss>,
 }
 
-/// `Losses` is what is known of workers that were lost lately.
+/// `RecentLosses` is what is known of workers that were lost lately.
 #[derive(Debug, Default)]
-pub(crate) struct Losses {
+pub(crate) struct RecentLosses {
     past: Vec<PastLoss>,
     /// Losses that wait for those found together with them, with when they are judged.
     unjudged: Vec<(TimeMs, LostWorker)>,
 }
 
-impl Losses {
+impl RecentLosses {
     fn remember(&mut self, now: TimeMs, lost: &LostWorker) {
         self.past
             .retain(|past| now.since(past.silence.since) <= REMEMBERED_MS);
@@ -159,14 +159,14 @@
     }
 
     /// How it fell silent, if it is lost now; none if calls to it were answered until now.
-    fn silence_at_loss(&self, now: TimeMs) -> Option<Silence> {
+    fn silence_at_loss(&self, now: TimeMs) -> Option<ContactLoss> {
         let is_unseen = self
             .allocations
             .values()
             .all(|held| held.phase == AllocationPhase::Recovered);
-        let unseen = Silence {
+        let unseen = ContactLoss {
             since: now,
-            kind: SilenceKind::Unseen,
+            kind: ContactLossKind::Unseen,
         };
         self.contact_loss.or_else(|| is_unseen.then_some(unseen))
     }
@@ -174,9 +174,9 @@
     /// The last moment at which it was there: a closed connection tells when it ended.
     fn last_there(&self) -> TimeMs {
         match self.contact_loss {
-            Some(Silence {
+            Some(ContactLoss {
                 since,
-                kind: SilenceKind::Closed,
+                kind: ContactLossKind::Closed,
             }) => since,
             _ => self.last_reply_at(),
         }
@@ -185,7 +185,7 @@
 
 impl Coordinator {
     /// A worker is lost: nothing runs there any more.
-    pub(crate) fn worker_lost(&mut self, now: TimeMs, name: &WorkerName, cause: WorkerLoss) {
+    pub(crate) fn worker_lost(&mut self, now: TimeMs, name: &WorkerName, cause: WorkerLossCause) {
         let Some(worker) = self.workers.get(name) else {
             return;
         };
@@ -193,7 +193,11 @@
         let lost = LostWorker {
             worker: name.clone(),
             rack: worker.entry.rack.clone(),
-            cause: if is_leaving { WorkerLoss::Left } else { cause },
+            cause: if is_leaving {
+                WorkerLossCause::Left
+            } else {
+                cause
+            },
             silence: worker.silence_at_loss(now),
             runs: worker.runs_at_loss(),
         };
@@ -208,7 +212,7 @@
         }
         self.losses.remember(now, &lost);
         let kind = lost.silence.map(|silence| silence.kind);
-        if kind == Some(SilenceKind::Unseen) {
+        if kind == Some(ContactLossKind::Unseen) {
             let judged_at = now + TOGETHER_UNSEEN_MS;
             self.losses.unjudged.push((judged_at, lost));
         } else {
@@ -229,11 +233,13 @@
     fn judge(&mut self, now: TimeMs, lost: LostWorker) {
         let (lost_together, may_be_task) = self.lost_together(&lost.worker, lost.silence);
         let blamed = match lost.cause {
-            WorkerLoss::Crashed if may_be_task => self.blame(now, &suspects(&lost.runs)),
-            WorkerLoss::Crashed | WorkerLoss::Left | WorkerLoss::OutOfReach => Vec::new(),
+            WorkerLossCause::Crashed if may_be_task => self.blame(now, &suspects(&lost.runs)),
+            WorkerLossCause::Crashed | WorkerLossCause::Left | WorkerLossCause::OutOfReach => {
+                Vec::new()
+            }
         };
         let runs = lost.runs.into_iter().map(|run| (run.task, run.age_ms));
-        self.actions.push(Action::LogWorkerLoss(WorkerLost {
+        self.actions.push(Action::LogWorkerLoss(WorkerLossReport {
             worker: lost.worker,
             rack: lost.rack,
             loss: lost.cause,
@@ -269,7 +275,7 @@
     /// A task ends the process of its worker, so that the machine closes its connections. A worker that
     /// does not answer at all has lost its power or its path. Several with closed connections, or that
     /// were lost before this term, were cut off or ended together if their own tasks are no reason.
-    fn lost_together(&self, name: &WorkerName, silence: Option<Silence>) -> (usize, bool) {
+    fn lost_together(&self, name: &WorkerName, silence: Option<ContactLoss>) -> (usize, bool) {
         let Some(silence) = silence else {
             // Nothing tells when it was lost.
             return (0, false);
@@ -289,7 +295,7 @@
             .collect();
         let unexplained = together.iter().filter(|is_explained| !**is_explained);
         let may_be_task =
-            silence.kind != SilenceKind::Unanswered && unexplained.count() < COMMON_LOSSES;
+            silence.kind != ContactLossKind::Unanswered && unexplained.count() < COMMON_LOSSES;
         (together.len(), may_be_task)
     }
 }
--- a/ragwortwick-area/src/messages.rs
+++ b/ragwortwick-area/src/messages.rs
@@ -6,10 +6,10 @@
     DurationMs, JobId, LabelName, PoolName, RackName, TimeMs, WorkerName, ZoneName,
 };
 
-use crate::accounting::{JobAccount, OverWhy};
+use crate::accounting::{JobAccounting, RunEndReason};
 use crate::desired::DesiredState;
 use crate::job::{JobRecord, Resources, StepId, TaskId};
-use crate::losses::WorkerLost;
+use crate::losses::WorkerLossReport;
 use crate::progress::JobProgress;
 
 /// `WorkerEntry` is what a worker tells of itself in the store.
@@ -258,7 +258,7 @@
     /// Whether callers see another phase than the last record told.
     pub has_new_phase: bool,
     /// How the job spent its time, with the record of its end; it isn't stored.
-    pub account: Option<JobAccount>,
+    pub account: Option<JobAccounting>,
 }
 
 /// `RunEnded` tells that a run is over, for the log.
@@ -271,7 +271,7 @@
     /// Its run.
     pub run: u32,
     /// How it is over.
-    pub why: OverWhy,
+    pub why: RunEndReason,
     /// How long it ran, if its worker had confirmed it.
     pub ran_ms: Option<DurationMs>,
     /// Work that it had done and that has to be done again, in core-equivalents times milliseconds.
@@ -356,7 +356,7 @@
     /// Log that a run is over.
     LogRunEnd(RunEnded),
     /// Log that a worker is lost, with runs.
-    LogWorkerLoss(WorkerLost),
+    LogWorkerLoss(WorkerLossReport),
     /// A worker knows a coordinator of a later term: stop coordinating.
     Resign,
     /// Forget the records of a job that ended long ago.
--- a/ragwortwick-area/src/outcome.rs
+++ b/ragwortwick-area/src/outcome.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use crate::job_state::{StepState, TaskState};
-use crate::losses::WorkerLoss;
+use crate::losses::WorkerLossCause;
 
 /// `RunOutcome` is how a run is over for good.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -15,7 +15,7 @@
     /// It ended without a verdict on the task: stopped, lapsed or never begun.
     NoVerdict,
     /// It was lost with its worker.
-    Lost(WorkerLoss),
+    Lost(WorkerLossCause),
 }
 
 /// `FollowUp` tells what a run's outcome means for the rest of the job.
--- a/ragwortwick-area/src/persistence.rs
+++ b/ragwortwick-area/src/persistence.rs
@@ -4,8 +4,8 @@
 
 use ragwortwick_core::{TimeMs, WorkerName};
 
-use crate::accounting::JobAccount;
-use crate::crashes::CrashRecord;
+use crate::accounting::JobAccounting;
+use crate::crashes::CrashHistory;
 use crate::job::TaskId;
 use crate::job_state::{JobState, TaskState};
 use crate::progress::{GangProgress, JobProgress, TaskProgress};
@@ -37,7 +37,7 @@
             };
             state.last_run = task.last_run;
             state.failures = task.failures;
-            state.crash_history = CrashRecord {
+            state.crash_history = CrashHistory {
                 count: task.crashes,
                 age_ms: task.crash_age_ms,
             };
@@ -55,7 +55,7 @@
             }
         }
         self.mend_partial_gangs();
-        self.accounting = JobAccount::inherit(now, !inherited.is_empty());
+        self.accounting = JobAccounting::inherit(now, !inherited.is_empty());
         inherited
     }
 
--- a/ragwortwick-area/src/polls.rs
+++ b/ragwortwick-area/src/polls.rs
@@ -8,7 +8,7 @@
 use crate::allocation::{Allocation, AllocationPhase};
 use crate::coordinator::{Coordinator, RENEWAL_AFTER_LEASE_LOSS_MS};
 use crate::job::{Resources, TaskId};
-use crate::losses::SilenceKind;
+use crate::losses::ContactLossKind;
 use crate::messages::{Action, PollFailure, RunningTask};
 use crate::outcome::RunOutcome;
 use crate::worker::PollState;
@@ -115,8 +115,8 @@
                 self.on_incarnation_ended(now, worker_name);
                 return;
             }
-            PollFailure::Closed => SilenceKind::Closed,
-            PollFailure::NoAnswer => SilenceKind::Unanswered,
+            PollFailure::Closed => ContactLossKind::Closed,
+            PollFailure::NoAnswer => ContactLossKind::Unanswered,
         };
         if let Some(worker) = self.workers.get_mut(worker_name) {
             worker.mark_unresponsive(now, kind);
--- a/ragwortwick-area/src/preemption.rs
+++ b/ragwortwick-area/src/preemption.rs
@@ -4,7 +4,7 @@
 
 use ragwortwick_core::{CustomerName, JobId, TimeMs, WorkerName};
 
-use crate::accounting::OverWhy;
+use crate::accounting::RunEndReason;
 use crate::allocation::Allocation;
 use crate::candidates::Candidate;
 use crate::coordinator::Coordinator;
@@ -261,7 +261,9 @@
             job.accounting.displaced_by = Some(taker.clone());
         }
         for worker in &victim.on {
-            self.stop_matching_on(now, worker, OverWhy::Displaced, |task| group.holds(task));
+            self.stop_matching_on(now, worker, RunEndReason::Displaced, |task| {
+                group.holds(task)
+            });
         }
     }
 }
--- a/ragwortwick-area/src/progress_tracker.rs
+++ b/ragwortwick-area/src/progress_tracker.rs
@@ -16,9 +16,9 @@
     percent: u32,
 }
 
-/// `Watch` follows the progress of one run.
+/// `ProgressTracker` follows the progress of one run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Watch {
+pub(crate) struct ProgressTracker {
     first: Told,
     /// The figure that the next one is compared with.
     last: Told,
@@ -28,9 +28,9 @@
     pub(crate) is_compared: bool,
 }
 
-/// `Movement` is what two figures of a run's progress show.
+/// `ProgressChange` is what two figures of a run's progress show.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Movement {
+pub(crate) enum ProgressChange {
     /// They lie too close together.
     Unknown,
     /// It stands still.
@@ -39,7 +39,7 @@
     Moving,
 }
 
-impl Watch {
+impl ProgressTracker {
     /// A run that was at the given progress at a time of its worker's clock.
     pub(crate) fn begin(clock_ms: u64, percent: u32) -> Self {
         let told = Told { clock_ms, percent };
@@ -57,19 +57,19 @@
         clock_ms: u64,
         percent: u32,
         expected_ms: DurationMs,
-    ) -> Movement {
+    ) -> ProgressChange {
         let is_moving = percent > self.last.percent || percent >= 100;
         let span_ms = clock_ms.saturating_sub(self.last.clock_ms);
         let least_ms = expected_ms.0 * LEAST_EXPECTED_PERCENT / 100;
         if !is_moving && span_ms < least_ms.max(LEAST_SPAN_MS) {
-            return Movement::Unknown;
+            return ProgressChange::Unknown;
         }
         self.last = Told { clock_ms, percent };
         if is_moving {
             self.moved_clock_ms = clock_ms;
-            Movement::Moving
+            ProgressChange::Moving
         } else {
-            Movement::Stalled
+            ProgressChange::Stalled
         }
     }
 
--- a/ragwortwick-area/src/record_batches.rs
+++ b/ragwortwick-area/src/record_batches.rs
@@ -33,26 +33,26 @@
 const FORGET_MARGIN_MS: DurationMs = DurationMs(180_000);
 
 /// Ends that workers may forget once their effect is stored, by worker.
-type Notes = BTreeMap<WorkerName, u64>;
+type EndAcks = BTreeMap<WorkerName, u64>;
 
-/// `Records` tracks what is not stored yet.
+/// `RecordBatches` tracks what is not stored yet.
 #[derive(Debug, Default)]
-pub(crate) struct Records {
+pub(crate) struct RecordBatches {
     dirty: Dirty,
     /// Starts that wait for the record of their job.
-    intents: BTreeMap<JobId, Vec<Intent>>,
+    intents: BTreeMap<JobId, Vec<PendingStart>>,
     /// Ends taken in, whose effect is not in a batch yet.
-    notes: Notes,
+    notes: EndAcks,
     in_flight: BTreeMap<u64, InFlight>,
     /// Ends whose effect is in this batch or an earlier one.
-    noted: BTreeMap<u64, Notes>,
+    noted: BTreeMap<u64, EndAcks>,
     last_batch: u64,
     last_sent_at: TimeMs,
 }
 
-/// `Intent` is a start that may be sent once the record of its job is stored.
+/// `PendingStart` is a start that may be sent once the record of its job is stored.
 #[derive(Clone, Debug)]
-struct Intent {
+struct PendingStart {
     worker: WorkerName,
     task: TaskId,
     run: u32,
@@ -62,7 +62,7 @@
 struct InFlight {
     /// Sorted.
     jobs: Vec<JobId>,
-    intents: Vec<Intent>,
+    intents: Vec<PendingStart>,
 }
 
 /// `Dirty` is the jobs that have changed since their last record, first changed first.
@@ -97,7 +97,7 @@
     }
 }
 
-impl Records {
+impl RecordBatches {
     pub(crate) fn mark(&mut self, job_id: &JobId) {
         self.dirty.insert(job_id);
     }
@@ -110,7 +110,7 @@
     pub(crate) fn intend(&mut self, worker: &WorkerName, task: &TaskId, run: u32) {
         self.mark(&task.job_id);
         let intents = self.intents.entry(task.job_id.clone()).or_default();
-        intents.push(Intent {
+        intents.push(PendingStart {
             worker: worker.clone(),
             task: task.clone(),
             run,
@@ -137,7 +137,7 @@
     }
 
     /// Ends whose effect is stored by now: every batch up to theirs is.
-    fn take_stored_notes(&mut self) -> Vec<Notes> {
+    fn take_stored_notes(&mut self) -> Vec<EndAcks> {
         let first_open = self.in_flight.keys().next().copied();
         let open = match first_open {
             Some(batch) => self.noted.split_off(&batch),
--- a/ragwortwick-area/src/recovery.rs
+++ b/ragwortwick-area/src/recovery.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use crate::accounting::OverWhy;
+use crate::accounting::RunEndReason;
 use crate::allocation::{Allocation, AllocationPhase};
 use crate::coordinator::{
     Coordinator, Now, RENEWAL_AFTER_LEASE_LOSS_MS, RecoveredJob, unix_to_steady,
@@ -29,7 +29,7 @@
             let priority = self.queue_policy(&job).priority;
             let held = Allocation {
                 phase: if is_over {
-                    AllocationPhase::stop_pending(OverWhy::JobOver)
+                    AllocationPhase::stop_pending(RunEndReason::JobOver)
                 } else {
                     AllocationPhase::Recovered
                 },
--- a/ragwortwick-area/src/run_ends.rs
+++ b/ragwortwick-area/src/run_ends.rs
@@ -4,12 +4,12 @@
 
 use ragwortwick_core::{DurationMs, TimeMs, WorkerName};
 
-use crate::accounting::OverWhy;
+use crate::accounting::RunEndReason;
 use crate::allocation::AllocationPhase;
 use crate::coordinator::Coordinator;
 use crate::job::TaskId;
 use crate::job_state::TaskState;
-use crate::losses::WorkerLoss;
+use crate::losses::WorkerLossCause;
 use crate::messages::{Action, EndKind, EndedTask, RunEnded, WorkerReport};
 use crate::outcome::{FollowUp, RunOutcome};
 use crate::worker::PollState;
@@ -67,16 +67,16 @@
             return;
         };
         let why = match outcome {
-            RunOutcome::Done => OverWhy::Done,
-            RunOutcome::Failed => OverWhy::Failed,
+            RunOutcome::Done => RunEndReason::Done,
+            RunOutcome::Failed => RunEndReason::Failed,
             RunOutcome::NoVerdict | RunOutcome::Lost(_) => match (held.phase, outcome) {
                 (AllocationPhase::Stopping { why, .. }, _) => why,
                 (_, RunOutcome::Lost(loss)) => loss.into(),
-                _ => OverWhy::NotThere,
+                _ => RunEndReason::NotThere,
             },
         };
         let vain_ms = match why {
-            OverWhy::Done => DurationMs(0),
+            RunEndReason::Done => DurationMs(0),
             _ => held.wasted_ms(now, self.limits.restore_ms),
         };
         let lost_core_ms = held.resources.core_equivalents().max(1) * vain_ms.0;
@@ -107,7 +107,7 @@
         };
         let settled = job.apply_outcome(task, run, outcome, &held.checkpoint, attempts);
         job.last_run_ended_at = now;
-        if why != OverWhy::Done {
+        if why != RunEndReason::Done {
             job.accounting.lost(why, vain_ms, lost_core_ms);
         }
         if job.is_idle() {
@@ -117,7 +117,7 @@
         self.needs_pass = true;
         match settled {
             FollowUp::None => {}
-            FollowUp::StopGang => self.stop_with_gang(now, task, OverWhy::GangEnded),
+            FollowUp::StopGang => self.stop_with_gang(now, task, RunEndReason::GangEnded),
             FollowUp::EndJob => self.end_job(now, &task.job_id.clone()),
         }
     }
@@ -168,7 +168,7 @@
             worker.stored_end = worker.acked_end;
             worker.received_end = worker.acked_end;
         }
-        self.worker_lost(now, worker_name, WorkerLoss::Crashed);
+        self.worker_lost(now, worker_name, WorkerLossCause::Crashed);
     }
 
     /// Gives up runs on silent workers whose lease must have run out by now.
@@ -191,7 +191,7 @@
             .map(|(name, _)| name.clone())
             .collect();
         for name in expired {
-            self.worker_lost(now, &name, WorkerLoss::OutOfReach);
+            self.worker_lost(now, &name, WorkerLossCause::OutOfReach);
         }
     }
 
--- a/ragwortwick-area/src/speed.rs
+++ b/ragwortwick-area/src/speed.rs
@@ -9,7 +9,7 @@
 use crate::allocation::Allocation;
 use crate::coordinator::Coordinator;
 use crate::job::TaskId;
-use crate::progress_tracker::Watch;
+use crate::progress_tracker::ProgressTracker;
 
 /// Least share of a run, in per cent, that its whole duration is told from.
 const LEAST_SEEN_PERCENT: u32 = 25;
@@ -94,7 +94,7 @@
     }
 }
 
-impl Watch {
+impl ProgressTracker {
     /// The whole duration of the run once enough of it was seen; none a second time.
     fn take_duration(&mut self) -> Option<DurationMs> {
         if self.is_compared || self.seen_percent() < LEAST_SEEN_PERCENT {
--- a/ragwortwick-area/src/stalls.rs
+++ b/ragwortwick-area/src/stalls.rs
@@ -8,13 +8,13 @@
 
 use ragwortwick_core::{DurationMs, TimeMs, WorkerName};
 
-use crate::accounting::OverWhy;
+use crate::accounting::RunEndReason;
 use crate::allocation::{Allocation, AllocationPhase};
 use crate::coordinator::Coordinator;
 use crate::job::TaskId;
 use crate::job_state::TaskState;
 use crate::messages::WorkerReport;
-use crate::progress_tracker::{Movement, Watch};
+use crate::progress_tracker::{ProgressChange, ProgressTracker};
 use crate::worker::Worker;
 
 /// How long a worker with stalled runs gets no new work after the look that showed it.
@@ -33,10 +33,10 @@
 
 impl Allocation {
     /// Takes in what the worker tells of the run's progress.
-    fn hear_progress(&mut self, clock_ms: u64, percent: u32) -> Movement {
+    fn hear_progress(&mut self, clock_ms: u64, percent: u32) -> ProgressChange {
         let Some(watch) = &mut self.tracker else {
-            self.tracker = Some(Watch::begin(clock_ms, percent));
-            return Movement::Unknown;
+            self.tracker = Some(ProgressTracker::begin(clock_ms, percent));
+            return ProgressChange::Unknown;
         };
         watch.hear(clock_ms, percent, self.expected_ms)
     }
@@ -70,10 +70,10 @@
                 continue;
             }
             match held.hear_progress(look.clock_ms, row.percent) {
-                Movement::Unknown => {}
-                Movement::Moving => is_moving = true,
-                Movement::Stalled if held.still_ms() > LONGEST_STALL_MS => {}
-                Movement::Stalled => {
+                ProgressChange::Unknown => {}
+                ProgressChange::Moving => is_moving = true,
+                ProgressChange::Stalled if held.still_ms() > LONGEST_STALL_MS => {}
+                ProgressChange::Stalled => {
                     stalled.push((row.task.clone(), held.still_ms()));
                     self.stalled_until = now + AVOID_MS;
                 }
@@ -118,7 +118,7 @@
         };
         if still_ms.0 >= lost_ms.0 + AGAIN_MS.0 && job.stall_restarts < MOST_MOVES {
             job.stall_restarts += 1;
-            self.stop_with_gang(now, task, OverWhy::Stalled);
+            self.stop_with_gang(now, task, RunEndReason::Stalled);
         }
     }
 
--- a/ragwortwick-area/src/starts.rs
+++ b/ragwortwick-area/src/starts.rs
@@ -4,13 +4,13 @@
 
 use ragwortwick_core::{DurationMs, JobId, TimeMs, WorkerName};
 
-use crate::accounting::OverWhy;
+use crate::accounting::RunEndReason;
 use crate::allocation::{Allocation, AllocationPhase};
 use crate::coordinator::Coordinator;
 use crate::job::TaskId;
 use crate::messages::{Action, OrderReply, RefusalCause};
 use crate::outcome::RunOutcome;
-use crate::progress_tracker::Watch;
+use crate::progress_tracker::ProgressTracker;
 use crate::worker::Worker;
 
 /// Pause before an order without an answer is sent again.
@@ -138,7 +138,7 @@
             is_leaving || !worker.overcommitted().is_zero()
         });
         if must_not_begin || self.ticket_for(now, worker, task).is_err() {
-            self.stop_with_gang(now, task, OverWhy::StartInDoubt);
+            self.stop_with_gang(now, task, RunEndReason::StartInDoubt);
         } else {
             self.send_start(now, worker, task);
         }
@@ -188,7 +188,7 @@
         match reply {
             OrderReply::Accepted { clock_ms } => {
                 if !held.is_resumed {
-                    held.tracker = Some(Watch::begin(clock_ms, 0));
+                    held.tracker = Some(ProgressTracker::begin(clock_ms, 0));
                 }
                 held.phase = AllocationPhase::Running { since: now };
                 held.started_at = Some(now);
@@ -227,7 +227,7 @@
                     self.end_run(now, worker_name, task, run, RunOutcome::NoVerdict);
                 } else {
                     // An earlier try may still be carried out late; a stop rules that out.
-                    self.stop_with_gang(now, task, OverWhy::StartInDoubt);
+                    self.stop_with_gang(now, task, RunEndReason::StartInDoubt);
                 }
             }
             OrderReply::WrongLife => {}
--- a/ragwortwick-area/src/stops.rs
+++ b/ragwortwick-area/src/stops.rs
@@ -4,7 +4,7 @@
 
 use ragwortwick_core::{DurationMs, TimeMs, WorkerName};
 
-use crate::accounting::OverWhy;
+use crate::accounting::RunEndReason;
 use crate::allocation::AllocationPhase;
 use crate::coordinator::Coordinator;
 use crate::job::TaskId;
@@ -83,7 +83,7 @@
     pub(crate) fn stop_matching(
         &mut self,
         now: TimeMs,
-        why: OverWhy,
+        why: RunEndReason,
         matches: impl Fn(&TaskId) -> bool,
     ) {
         let names: Vec<WorkerName> = self
@@ -102,7 +102,7 @@
         &mut self,
         now: TimeMs,
         name: &WorkerName,
-        why: OverWhy,
+        why: RunEndReason,
         matches: impl Fn(&TaskId) -> bool,
     ) {
         let Some(worker) = self.workers.get_mut(name) else {
@@ -125,7 +125,7 @@
     }
 
     /// Stops a task, and with it the whole gang that it is a member of.
-    pub(crate) fn stop_with_gang(&mut self, now: TimeMs, task: &TaskId, why: OverWhy) {
+    pub(crate) fn stop_with_gang(&mut self, now: TimeMs, task: &TaskId, why: RunEndReason) {
         let is_gang = self
             .jobs
             .get(&task.job_id)
--- a/ragwortwick-area/src/validation.rs
+++ b/ragwortwick-area/src/validation.rs
@@ -7,14 +7,14 @@
 /// Most tasks of one job, over all its occurrences; a record has to fit into one store value.
 const MAX_TASKS: u64 = 20_000;
 
-/// `JobProblem` says what is wrong with a job.
+/// `JobValidationError` says what is wrong with a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct JobProblem {
+pub struct JobValidationError {
     field: String,
     problem: String,
 }
 
-impl JobProblem {
+impl JobValidationError {
     /// `field` is the path of the field at fault.
     #[must_use]
     pub fn field(&self) -> &str {
@@ -22,16 +22,16 @@
     }
 }
 
-impl fmt::Display for JobProblem {
+impl fmt::Display for JobValidationError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: {}", self.field, self.problem)
     }
 }
 
-impl std::error::Error for JobProblem {}
+impl std::error::Error for JobValidationError {}
 
-fn problem(field: String, problem: impl Into<String>) -> JobProblem {
-    JobProblem {
+fn problem(field: String, problem: impl Into<String>) -> JobValidationError {
+    JobValidationError {
         field,
         problem: problem.into(),
     }
@@ -43,7 +43,7 @@
     /// # Errors
     ///
     /// Gives the first problem with its field.
-    pub fn check(&self) -> Result<(), JobProblem> {
+    pub fn check(&self) -> Result<(), JobValidationError> {
         if self.steps.is_empty() {
             return Err(problem("steps".to_owned(), "expected at least one step"));
         }
--- a/ragwortwick-area/src/worker.rs
+++ b/ragwortwick-area/src/worker.rs
@@ -8,7 +8,7 @@
 use crate::allocation::{Allocation, AllocationPhase};
 use crate::job::{Resources, TaskId};
 use crate::limits::Limits;
-use crate::losses::{Silence, SilenceKind};
+use crate::losses::{ContactLoss, ContactLossKind};
 use crate::messages::WorkerEntry;
 use crate::speed::SpeedEstimate;
 
@@ -52,7 +52,7 @@
     pub(crate) lease_sent_at: TimeMs,
     pub(crate) poll: PollState,
     /// Since when looks fail; none if the last one was answered.
-    pub(crate) contact_loss: Option<Silence>,
+    pub(crate) contact_loss: Option<ContactLoss>,
     /// Highest number of an end that was taken in.
     pub(crate) received_end: u64,
     /// Highest number of an end whose effect is stored.
@@ -151,9 +151,9 @@
     }
 
     /// Notes that a look failed; the silence goes on since the first.
-    pub(crate) fn mark_unresponsive(&mut self, now: TimeMs, kind: SilenceKind) {
+    pub(crate) fn mark_unresponsive(&mut self, now: TimeMs, kind: ContactLossKind) {
         self.contact_loss
-            .get_or_insert(Silence { since: now, kind });
+            .get_or_insert(ContactLoss { since: now, kind });
     }
 
     /// What its clock shows now, as far as it was told.
--- a/ragwortwick-area/tests/account.rs
+++ b/ragwortwick-area/tests/account.rs
@@ -2,12 +2,12 @@
 
 mod rig;
 
-use ragwortwick_area::{Action, EndKind, Event, JobAccount, OverWhy, StepSpec};
+use ragwortwick_area::{Action, EndKind, Event, JobAccounting, RunEndReason, StepSpec};
 use ragwortwick_core::{DurationMs, JobId};
 use rig::{Rig, ended, gang, step, worker};
 
 /// Takes and confirms the batches that wait; gives the accounts of the jobs that ended in them.
-fn accounts(rig: &mut Rig) -> Vec<(JobId, JobAccount)> {
+fn accounts(rig: &mut Rig) -> Vec<(JobId, JobAccounting)> {
     let mut accounts = Vec::new();
     for (batch, records) in rig.batches() {
         let ended = records.into_iter();
@@ -17,7 +17,7 @@
     accounts
 }
 
-fn whole_ms(account: &JobAccount) -> u64 {
+fn whole_ms(account: &JobAccounting) -> u64 {
     [
         account.room_ms,
         account.again_ms,
@@ -33,7 +33,7 @@
 const URGENT: &str = "00000000000000a1";
 
 /// The account of a job that has run for so long, gives way to another for half a second, and is done later.
-fn displaced(step: StepSpec, ran_ms: u64) -> JobAccount {
+fn displaced(step: StepSpec, ran_ms: u64) -> JobAccounting {
     let mut rig = Rig::new(&[worker("w1", "r1")]);
     rig.submit_as(PATIENT, "c", "patient", step);
     let first = rig.start_all();
@@ -69,7 +69,7 @@
 #[test]
 fn verify_a_displaced_job_tells_what_it_lost_and_for_whom() {
     let account = displaced(step(1, 8), 1_000);
-    let lost = &account.losses[&OverWhy::Displaced];
+    let lost = &account.losses[&RunEndReason::Displaced];
     assert_eq!((account.starts, lost.runs), (2, 1));
     assert!(
         lost.core_ms >= 1_000 * 64,
@@ -98,7 +98,7 @@
         vec![ended(1, &start[0], EndKind::Stopped)],
     );
     let lost: Vec<u64> = rig.take(|action| match action {
-        Action::LogRunEnd(over) if over.why == OverWhy::JobOver => Some(over.lost_core_ms),
+        Action::LogRunEnd(over) if over.why == RunEndReason::JobOver => Some(over.lost_core_ms),
         _ => None,
     });
     assert_eq!(lost.len(), 1);
@@ -128,7 +128,7 @@
     rig.advance(20);
     let told = accounts(&mut rig);
     assert_eq!(told.len(), 1);
-    assert!(!told[0].1.losses.contains_key(&OverWhy::Done));
+    assert!(!told[0].1.losses.contains_key(&RunEndReason::Done));
     rig.advance(500);
     assert!(accounts(&mut rig).is_empty());
 }
--- a/ragwortwick-area/tests/losses.rs
+++ b/ragwortwick-area/tests/losses.rs
@@ -2,7 +2,9 @@
 
 mod rig;
 
-use ragwortwick_area::{Event, PollFailure, SilenceKind, WorkerEntry, WorkerLoss, WorkerLost};
+use ragwortwick_area::{
+    ContactLossKind, Event, PollFailure, WorkerEntry, WorkerLossCause, WorkerLossReport,
+};
 use ragwortwick_core::{DurationMs, WorkerName};
 use rig::{Rig, running, step, worker};
 
@@ -39,9 +41,9 @@
     let told = rig.losses();
     let loss_of = |name: &WorkerName| told.iter().find(|lost| lost.worker == *name);
     let crash = loss_of(crashed).expect("the crash is told");
-    assert_eq!(crash.loss, WorkerLoss::Crashed);
-    let kind_of = |lost: &WorkerLost| lost.silence.map(|silence| silence.kind);
-    assert_eq!(kind_of(crash), Some(SilenceKind::Closed));
+    assert_eq!(crash.loss, WorkerLossCause::Crashed);
+    let kind_of = |lost: &WorkerLossReport| lost.silence.map(|silence| silence.kind);
+    assert_eq!(kind_of(crash), Some(ContactLossKind::Closed));
     assert_eq!(
         crash.runs,
         vec![(starts[0].1.clone(), Some(DurationMs(300)))]
@@ -49,9 +51,9 @@
     assert_eq!(crash.lost_together, 1, "the leaving one");
     assert_eq!(
         loss_of(leaving).map(|lost| lost.loss),
-        Some(WorkerLoss::Left)
+        Some(WorkerLossCause::Left)
     );
     let gone = loss_of(cut).expect("the cut is told");
-    assert_eq!(gone.loss, WorkerLoss::OutOfReach);
-    assert_eq!(kind_of(gone), Some(SilenceKind::Unanswered));
+    assert_eq!(gone.loss, WorkerLossCause::OutOfReach);
+    assert_eq!(kind_of(gone), Some(ContactLossKind::Unanswered));
 }
--- a/ragwortwick-area/tests/rig/mod.rs
+++ b/ragwortwick-area/tests/rig/mod.rs
@@ -6,7 +6,7 @@
 use ragwortwick_area::{
     Action, Coordinator, Customer, DesiredState, EndKind, EndedTask, Event, JobProgress, JobRecord,
     Limits, Now, OrderReply, PollFailure, ProgressRecord, Queue, QueuePolicy, RecoveredJob,
-    Resources, RunningTask, StepSpec, TaskId, WorkerEntry, WorkerLost, WorkerReport,
+    Resources, RunningTask, StepSpec, TaskId, WorkerEntry, WorkerLossReport, WorkerReport,
 };
 use ragwortwick_core::{ClassName, CustomerName, DurationMs, JobId, PoolName, TimeMs, WorkerName};
 
@@ -264,7 +264,7 @@
     }
 
     /// Takes what was told of lost workers.
-    pub fn losses(&mut self) -> Vec<WorkerLost> {
+    pub fn losses(&mut self) -> Vec<WorkerLossReport> {
         self.take(|action| match action {
             Action::LogWorkerLoss(lost) => Some(lost.clone()),
             _ => None,
--- a/ragwortwick-daemon/src/area/action_dispatcher.rs
+++ b/ragwortwick-daemon/src/area/action_dispatcher.rs
@@ -1,6 +1,6 @@
 //! Where the actions of a term's coordinator go: the store, the workers, logs and metrics.
 
-use ragwortwick_area::{Action, OverWhy, RunEnded, WorkerLost};
+use ragwortwick_area::{Action, RunEndReason, RunEnded, WorkerLossReport};
 use ragwortwick_core::{DurationMs, log_event};
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
@@ -62,7 +62,7 @@
     }
 
     fn report(&self, over: &RunEnded) {
-        if over.why == OverWhy::Done {
+        if over.why == RunEndReason::Done {
             self.unstored.add(&over.task, over.run);
         }
         let cause = over.why.to_string();
@@ -86,7 +86,7 @@
     }
 
     /// Tells what operators need to see whether the task or the worker was at fault.
-    fn report_loss(&self, lost: &WorkerLost) {
+    fn report_loss(&self, lost: &WorkerLossReport) {
         let cause = lost.loss.to_string();
         let labels = [cause.as_str()];
         self.metrics.workers_lost.with_label_values(&labels).inc();
@@ -113,7 +113,7 @@
 }
 
 /// The tasks that a crash counts against, as logs show them; `none` for none.
-fn blamed(lost: &WorkerLost) -> String {
+fn blamed(lost: &WorkerLossReport) -> String {
     let tasks = lost.blamed.iter();
     let tasks: Vec<String> = tasks
         .map(|(task, count)| format!("{task}:{count}"))
--- a/ragwortwick-daemon/src/area/batch_writer.rs
+++ b/ragwortwick-daemon/src/area/batch_writer.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use ragwortwick_area::{Event, JobAccount, JobRecord, ProgressRecord};
+use ragwortwick_area::{Event, JobAccounting, JobRecord, ProgressRecord};
 use ragwortwick_core::{DurationMs, JobId, log_event};
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
@@ -81,7 +81,7 @@
         }
     }
 
-    fn time_parts(&self, record: &JobRecord, account: &JobAccount) {
+    fn time_parts(&self, record: &JobRecord, account: &JobAccounting) {
         // What an earlier coordinator saw of the job is missing in the others.
         if !account.is_whole {
             return;
@@ -101,7 +101,7 @@
 }
 
 /// One line for each job, whatever else is left out: what `ragwortwick ends` reads.
-fn log_account(record: &JobRecord, phase: &str, took_ms: DurationMs, account: &JobAccount) {
+fn log_account(record: &JobRecord, phase: &str, took_ms: DurationMs, account: &JobAccounting) {
     let losses: Vec<String> = account
         .losses
         .iter()
