--- a/ragwortwick-area/src/accounting.rs
+++ b/ragwortwick-area/src/accounting.rs
@@ -86,23 +86,23 @@
 #[common]
 pub struct JobAccounting {
     /// Whether this coordinator knew the job from its acceptance.
-    pub is_whole: bool,
+    pub is_complete: bool,
     /// Time before its first run was placed.
-    pub room_ms: DurationMs,
+    pub queued_ms: DurationMs,
     /// Later time in which nothing of it was placed.
-    pub again_ms: DurationMs,
+    pub requeued_ms: DurationMs,
     /// Time in which something was placed and no worker had confirmed it.
-    pub begin_ms: DurationMs,
+    pub starting_ms: DurationMs,
     /// Time from the first run that a worker confirmed until nothing was placed any more.
-    pub run_ms: DurationMs,
+    pub running_ms: DurationMs,
     /// Part of `run_ms` whose work had to be done again by the whole job.
     pub lost_ms: DurationMs,
     /// Runs that were placed.
     pub starts: u32,
     /// Runs over without having done their work, by cause.
-    pub losses: BTreeMap<RunEndReason, LostWork>,
+    pub lost_work: BTreeMap<RunEndReason, LostWork>,
     /// The job that took its room last.
-    pub displaced_by: Option<JobId>,
+    pub preempted_by: Option<JobId>,
     /// The longest that a run was in vain since something was placed last.
     vain_ms: DurationMs,
     stage: Stage,
@@ -110,40 +110,40 @@
 }
 
 impl JobAccounting {
-    /// `begin` opens the account of a job that may start at the given time.
-    pub(crate) fn begin(since: TimeMs) -> Self {
+    /// `new` opens the account of a job that may start at the given time.
+    pub(crate) fn new(since: TimeMs) -> Self {
         Self {
-            is_whole: true,
-            room_ms: DurationMs(0),
-            again_ms: DurationMs(0),
-            begin_ms: DurationMs(0),
-            run_ms: DurationMs(0),
+            is_complete: true,
+            queued_ms: DurationMs(0),
+            requeued_ms: DurationMs(0),
+            starting_ms: DurationMs(0),
+            running_ms: DurationMs(0),
             lost_ms: DurationMs(0),
             starts: 0,
-            losses: BTreeMap::new(),
-            displaced_by: None,
+            lost_work: BTreeMap::new(),
+            preempted_by: None,
             vain_ms: DurationMs(0),
             stage: Stage::New,
             since,
         }
     }
 
-    /// `inherit` opens the account of a job that an earlier coordinator accounted for until now.
-    pub(crate) fn inherit(now: TimeMs, has_run: bool) -> Self {
+    /// `recovered` opens the account of a job that an earlier coordinator accounted for until now.
+    pub(crate) fn recovered(now: TimeMs, has_run: bool) -> Self {
         Self {
-            is_whole: false,
+            is_complete: false,
             stage: if has_run { Stage::Running } else { Stage::New },
-            ..Self::begin(now)
+            ..Self::new(now)
         }
     }
 
     fn enter(&mut self, now: TimeMs, stage: Stage) {
         let spent_ms = now.since(self.since);
         let total = match self.stage {
-            Stage::New => &mut self.room_ms,
-            Stage::Again => &mut self.again_ms,
-            Stage::Beginning => &mut self.begin_ms,
-            Stage::Running => &mut self.run_ms,
+            Stage::New => &mut self.queued_ms,
+            Stage::Again => &mut self.requeued_ms,
+            Stage::Beginning => &mut self.starting_ms,
+            Stage::Running => &mut self.running_ms,
             Stage::Over => return,
         };
         *total = *total + spent_ms;
@@ -151,39 +151,39 @@
         self.since = self.since.max(now);
     }
 
-    /// `placed` notes that a run was placed.
-    pub(crate) fn placed(&mut self, now: TimeMs) {
+    /// `on_placed` records that a run was placed.
+    pub(crate) fn on_placed(&mut self, now: TimeMs) {
         self.starts += 1;
         if matches!(self.stage, Stage::New | Stage::Again) {
             self.enter(now, Stage::Beginning);
         }
     }
 
-    /// `confirmed` notes that a worker confirmed a run.
-    pub(crate) fn confirmed(&mut self, now: TimeMs) {
+    /// `on_confirmed` records that a worker confirmed a run.
+    pub(crate) fn on_confirmed(&mut self, now: TimeMs) {
         if self.stage == Stage::Beginning {
             self.enter(now, Stage::Running);
         }
     }
 
-    /// `lost` notes a run that is over without having done its work, after so long in vain.
-    pub(crate) fn lost(&mut self, why: RunEndReason, vain_ms: DurationMs, core_ms: u64) {
-        let loss = self.losses.entry(why).or_default();
+    /// `on_run_lost` records a run that is over without having done its work, after so long in vain.
+    pub(crate) fn on_run_lost(&mut self, why: RunEndReason, vain_ms: DurationMs, core_ms: u64) {
+        let loss = self.lost_work.entry(why).or_default();
         loss.runs += 1;
         loss.core_ms += core_ms;
         self.vain_ms = self.vain_ms.max(vain_ms);
     }
 
-    /// `idle` notes that nothing of the job is placed any more.
-    pub(crate) fn idle(&mut self, now: TimeMs) {
+    /// `on_idle` records that nothing of the job is placed any more.
+    pub(crate) fn on_idle(&mut self, now: TimeMs) {
         self.lost_ms = self.lost_ms + std::mem::take(&mut self.vain_ms);
         if matches!(self.stage, Stage::Beginning | Stage::Running) {
             self.enter(now, Stage::Again);
         }
     }
 
-    /// `close` notes that the job is over.
-    pub(crate) fn close(&mut self, now: TimeMs) {
+    /// `on_job_ended` records that the job is over.
+    pub(crate) fn on_job_ended(&mut self, now: TimeMs) {
         self.enter(now, Stage::Over);
     }
 }
--- a/ragwortwick-area/src/backoff.rs
+++ b/ragwortwick-area/src/backoff.rs
@@ -20,12 +20,12 @@
 
 impl StartBackoff {
     /// When the job may start again; none if it may now.
-    pub(crate) fn waits_until(&self, now: TimeMs) -> Option<TimeMs> {
+    pub(crate) fn retry_at(&self, now: TimeMs) -> Option<TimeMs> {
         (now < self.until).then_some(self.until)
     }
 
     /// Takes in a refusal; the starts of a gang that are refused together count as one.
-    pub(crate) fn refused(&mut self, now: TimeMs) {
+    pub(crate) fn on_refused(&mut self, now: TimeMs) {
         if now < self.until {
             return;
         }
@@ -34,7 +34,7 @@
         self.refusals_in_row += 1;
     }
 
-    pub(crate) fn accepted(&mut self) {
+    pub(crate) fn reset(&mut self) {
         *self = Self::default();
     }
 }
--- a/ragwortwick-area/src/candidates.rs
+++ b/ragwortwick-area/src/candidates.rs
@@ -64,7 +64,7 @@
             let Some(job) = self.jobs.get(job_id) else {
                 continue;
             };
-            if let Some(until) = job.backoff.waits_until(now.steady) {
+            if let Some(until) = job.backoff.retry_at(now.steady) {
                 next_due = Some(next_due.map_or(until, |at| at.min(until)));
                 continue;
             }
--- a/ragwortwick-area/src/coordinator.rs
+++ b/ragwortwick-area/src/coordinator.rs
@@ -170,7 +170,7 @@
             Event::WorkersConfirmed => self.workers_fresh_at = Some(now.steady),
             Event::JobAccepted(record) => self.job_accepted(now, record),
             Event::JobCancelled(job_id) => self.cancel(now.steady, &job_id),
-            Event::BatchStored { batch } => self.stored(now.steady, batch),
+            Event::BatchStored { batch } => self.on_batch_stored(now.steady, batch),
             Event::CompletionHandedOver { task, run } => {
                 self.on_completion_handed_over(now.steady, &task, run);
             }
@@ -214,7 +214,7 @@
     #[must_use]
     pub fn next_wakeup(&self, now: Now) -> Option<TimeMs> {
         let is_busy =
-            self.records.is_waiting() || self.next_poll_at.is_some() || !self.open_jobs.is_empty();
+            self.records.has_pending() || self.next_poll_at.is_some() || !self.open_jobs.is_empty();
         let tick = is_busy.then(|| now.steady + TICK_MS);
         let pass = self.needs_pass.then_some(self.next_pass_at);
         let due = self.next_scheduled_at.map(|at| at.max(self.next_pass_at));
@@ -232,18 +232,18 @@
             self.next_chores_at = now.steady + CHORES_MS;
             self.wants_looks = true;
             self.expire_leases(now.steady);
-            self.judge_losses(now.steady);
-            self.forget_old(now.steady);
+            self.attribute_losses(now.steady);
+            self.remove_expired_jobs(now.steady);
         }
         let is_due = self.next_scheduled_at.is_some_and(|at| at <= now.steady);
         if (self.needs_pass || is_due) && now.steady >= self.next_pass_at {
             self.needs_pass = false;
             self.pass_began = Some(now.steady);
             self.next_pass_at = now.steady + PASS_INTERVAL_MS;
-            self.evacuate(now.steady);
+            self.evacuate_draining_workers(now.steady);
             self.run_placement_pass(now);
         }
-        self.flush(now.steady);
+        self.send_record_batches(now.steady);
         if has_chores || std::mem::take(&mut self.has_due_orders) {
             self.send_orders(now.steady);
         }
@@ -361,11 +361,11 @@
     pub(crate) fn end_job(&mut self, now: TimeMs, job_id: &JobId) {
         if let Some(job) = self.jobs.get_mut(job_id) {
             job.ended_at = Some(now);
-            job.accounting.close(now);
+            job.accounting.on_job_ended(now);
         }
         self.open_jobs.remove(job_id);
         self.advice.remove_job(job_id);
-        self.records.mark(job_id);
+        self.records.mark_dirty(job_id);
         let is_completed = self.phase(job_id) == Some(JobPhase::Completed);
         if !is_completed {
             self.stop_matching(now, RunEndReason::JobOver, |task| task.job_id == *job_id);
--- a/ragwortwick-area/src/crashes.rs
+++ b/ragwortwick-area/src/crashes.rs
@@ -26,30 +26,30 @@
     /// Crashes at the same point of its work, less those at other points.
     pub(crate) count: u32,
     /// How long its run had been going at the last one.
-    pub(crate) age_ms: DurationMs,
+    pub(crate) run_age_ms: DurationMs,
 }
 
 impl CrashHistory {
     /// Whether the task is to start with nothing else, so that no other is at the same point as it.
-    pub(crate) fn starts_alone(self) -> bool {
-        self.count > u32::from(self.age_ms >= STARTING_MS)
+    pub(crate) fn needs_isolation(self) -> bool {
+        self.count > u32::from(self.run_age_ms >= STARTING_MS)
     }
 
-    pub(crate) fn is_given_up(self) -> bool {
+    pub(crate) fn is_at_limit(self) -> bool {
         self.count >= MOST_CRASHES
     }
 
     /// Whether a crash at the given age repeats the last one; one at an age that is not known may.
     fn is_repeated_at(self, age_ms: Option<DurationMs>) -> bool {
         let is_same_point = |age_ms: DurationMs| {
-            let (less, more) = (self.age_ms.min(age_ms), self.age_ms.max(age_ms));
+            let (less, more) = (self.run_age_ms.min(age_ms), self.run_age_ms.max(age_ms));
             more < STARTING_MS || more.0 <= less.0 + less.0 / 4 + SAME_POINT_MS.0
         };
         self.count > 0 && age_ms.is_none_or(is_same_point)
     }
 
     /// Takes in a crash that counts against the task, or for it if it came at another point of its work.
-    pub(crate) fn note(&mut self, age_ms: Option<DurationMs>) {
+    pub(crate) fn count_crash(&mut self, age_ms: Option<DurationMs>) {
         if self.count > 1 && !self.is_repeated_at(age_ms) {
             self.count -= 1;
             return;
@@ -58,7 +58,7 @@
             self.count = 0;
         }
         self.count += 1;
-        self.age_ms = age_ms.unwrap_or(self.age_ms);
+        self.run_age_ms = age_ms.unwrap_or(self.run_age_ms);
     }
 }
 
@@ -68,7 +68,7 @@
     pub(crate) task: TaskId,
     /// How long it had been going; none if that is not known.
     pub(crate) age_ms: Option<DurationMs>,
-    pub(crate) crashes: CrashHistory,
+    pub(crate) crash_history: CrashHistory,
 }
 
 impl RunAtLoss {
@@ -77,19 +77,19 @@
     }
 
     fn is_repetition(&self) -> bool {
-        self.crashes.is_repeated_at(self.age_ms)
+        self.crash_history.is_repeated_at(self.age_ms)
     }
 
     /// Whether it repeats a crash at a point that it is unlikely to be at by chance: its start, or one at
     /// which it was more than once.
     fn is_likely(&self) -> bool {
         let may_be_starting = self.age_ms.is_none_or(|age_ms| age_ms < STARTING_MS);
-        self.is_repetition() && (may_be_starting || self.crashes.count > 1)
+        self.is_repetition() && (may_be_starting || self.crash_history.count > 1)
     }
 }
 
 /// Whether one of the runs is reason enough for the loss of its worker.
-pub(crate) fn is_explained(runs: &[RunAtLoss]) -> bool {
+pub(crate) fn has_likely_cause(runs: &[RunAtLoss]) -> bool {
     let mut runs = runs.iter();
     runs.any(|run| run.is_repetition() || run.is_starting())
 }
@@ -113,13 +113,13 @@
 
 impl Worker {
     /// Whether nothing has begun here lately, so that a crash would tell against what begins next alone.
-    pub(crate) fn is_quiet(&self, now: TimeMs) -> bool {
+    pub(crate) fn has_no_recent_start(&self, now: TimeMs) -> bool {
         !self.allocations.values().any(|held| held.is_starting(now))
     }
 
     /// Whether a task begins here beside which nothing else is to begin.
-    pub(crate) fn is_on_trial(&self, now: TimeMs) -> bool {
+    pub(crate) fn is_isolating_suspect(&self, now: TimeMs) -> bool {
         let mut held = self.allocations.values();
-        held.any(|held| held.crash_history.starts_alone() && held.is_starting(now))
+        held.any(|held| held.crash_history.needs_isolation() && held.is_starting(now))
     }
 }
--- a/ragwortwick-area/src/draining.rs
+++ b/ragwortwick-area/src/draining.rs
@@ -16,7 +16,7 @@
 
 impl Coordinator {
     /// Stops what a leaving worker has no time to finish, while its checkpoint can still be kept.
-    pub(crate) fn evacuate(&mut self, now: TimeMs) {
+    pub(crate) fn evacuate_draining_workers(&mut self, now: TimeMs) {
         let mut leaving: Vec<TaskId> = Vec::new();
         for worker in self.workers.values() {
             let Some(leaves_at) = worker.leaves_at else {
--- a/ragwortwick-area/src/job_state.rs
+++ b/ragwortwick-area/src/job_state.rs
@@ -115,7 +115,7 @@
             last_run_ended_at: accepted_at,
             backoff: StartBackoff::default(),
             stall_restarts: 0,
-            accounting: JobAccounting::begin(accepted_at),
+            accounting: JobAccounting::new(accepted_at),
         }
     }
 
@@ -257,8 +257,8 @@
         let Some(task) = step.tasks.get_mut(id.index as usize) else {
             return false;
         };
-        task.crash_history.note(age_ms);
-        let is_given_up = task.crash_history.is_given_up() && !is_over;
+        task.crash_history.count_crash(age_ms);
+        let is_given_up = task.crash_history.is_at_limit() && !is_over;
         if is_given_up {
             self.phase = JobPhase::Failed;
         }
--- a/ragwortwick-area/src/late_completions.rs
+++ b/ragwortwick-area/src/late_completions.rs
@@ -29,7 +29,7 @@
         if is_over {
             self.end_job(now, &task.job_id);
         }
-        self.records.mark(&task.job_id);
+        self.records.mark_dirty(&task.job_id);
         self.needs_pass = true;
     }
 }
--- a/ragwortwick-area/src/limits.rs
+++ b/ragwortwick-area/src/limits.rs
@@ -36,9 +36,9 @@
 }
 
 impl Weights {
-    /// `problem` tells what is wrong with the weights, if anything is.
+    /// `validation_error` tells what is wrong with the weights, if anything is.
     #[must_use]
-    pub fn problem(&self) -> Option<&'static str> {
+    pub fn validation_error(&self) -> Option<&'static str> {
         let is_weight = |weight: &f64| weight.is_finite() && *weight > 0.0;
         if self.by_priority.is_empty() || !self.by_priority.iter().all(is_weight) {
             return Some("weights.by_priority: expected at least one number above 0");
@@ -47,9 +47,9 @@
         (!is_share).then_some("weights.late_share: expected a number from 0 to 1")
     }
 
-    /// `of` is the worth of a job of mean size in a queue of the given priority.
+    /// `of_priority` is the worth of a job of mean size in a queue of the given priority.
     #[must_use]
-    pub fn of(&self, priority: u32) -> f64 {
+    pub fn of_priority(&self, priority: u32) -> f64 {
         let last = self.by_priority.last();
         let own = self.by_priority.get(priority as usize);
         own.or(last).copied().unwrap_or(1.0)
--- a/ragwortwick-area/src/losses.rs
+++ b/ragwortwick-area/src/losses.rs
@@ -6,7 +6,7 @@
 
 use crate::allocation::{Allocation, AllocationPhase};
 use crate::coordinator::Coordinator;
-use crate::crashes::{RunAtLoss, is_explained, suspects};
+use crate::crashes::{RunAtLoss, has_likely_cause, suspects};
 use crate::job::TaskId;
 use crate::messages::Action;
 use crate::outcome::RunOutcome;
@@ -86,15 +86,15 @@
     /// Its rack.
     pub rack: RackName,
     /// How it came to be lost.
-    pub loss: WorkerLossCause,
+    pub cause: WorkerLossCause,
     /// How it fell silent; none if it was lost before any call failed.
-    pub silence: Option<ContactLoss>,
+    pub contact_loss: Option<ContactLoss>,
     /// Runs that were lost with it, with how long each had been running; none if that is not known.
     pub runs: Vec<(TaskId, Option<DurationMs>)>,
     /// Workers with runs that fell silent at the same time.
     pub lost_together: usize,
     /// The tasks that its crash counts against, each with the crashes that count by now.
-    pub blamed: Vec<(TaskId, u32)>,
+    pub suspects: Vec<(TaskId, u32)>,
 }
 
 /// `PastLoss` is a loss that the reasons of others are judged by.
@@ -130,7 +130,7 @@
         self.past.extend(lost.silence.map(|silence| PastLoss {
             worker: lost.worker.clone(),
             silence,
-            is_explained: is_explained(&lost.runs),
+            is_explained: has_likely_cause(&lost.runs),
         }));
     }
 }
@@ -153,7 +153,7 @@
         let runs = sent.map(|(task, held)| RunAtLoss {
             task: task.clone(),
             age_ms: self.age_of(held),
-            crashes: held.crash_history,
+            crash_history: held.crash_history,
         });
         runs.collect()
     }
@@ -185,7 +185,7 @@
 
 impl Coordinator {
     /// A worker is lost: nothing runs there any more.
-    pub(crate) fn worker_lost(&mut self, now: TimeMs, name: &WorkerName, cause: WorkerLossCause) {
+    pub(crate) fn lose_worker(&mut self, now: TimeMs, name: &WorkerName, cause: WorkerLossCause) {
         let Some(worker) = self.workers.get(name) else {
             return;
         };
@@ -221,7 +221,7 @@
     }
 
     /// Judges the losses that have waited for others.
-    pub(crate) fn judge_losses(&mut self, now: TimeMs) {
+    pub(crate) fn attribute_losses(&mut self, now: TimeMs) {
         let unjudged = std::mem::take(&mut self.losses.unjudged);
         let (due, later): (Vec<_>, Vec<_>) = unjudged.into_iter().partition(|(at, _)| *at <= now);
         self.losses.unjudged = later;
@@ -242,11 +242,11 @@
         self.actions.push(Action::LogWorkerLoss(WorkerLossReport {
             worker: lost.worker,
             rack: lost.rack,
-            loss: lost.cause,
-            silence: lost.silence,
+            cause: lost.cause,
+            contact_loss: lost.silence,
             runs: runs.collect(),
             lost_together,
-            blamed,
+            suspects: blamed,
         }));
     }
 
@@ -284,7 +284,7 @@
         let silent = others.filter_map(|(_, worker)| {
             let silence = worker.contact_loss?;
             let runs = worker.runs_at_loss();
-            (!runs.is_empty()).then(|| (silence, is_explained(&runs)))
+            (!runs.is_empty()).then(|| (silence, has_likely_cause(&runs)))
         });
         let lost = self.losses.past.iter().filter(|past| past.worker != *name);
         let lost = lost.map(|past| (past.silence, past.is_explained));
--- a/ragwortwick-area/src/persistence.rs
+++ b/ragwortwick-area/src/persistence.rs
@@ -39,7 +39,7 @@
             state.failures = task.failures;
             state.crash_history = CrashHistory {
                 count: task.crashes,
-                age_ms: task.crash_age_ms,
+                run_age_ms: task.crash_age_ms,
             };
             state.checkpoint = Arc::clone(&task.checkpoint);
             if task.is_done {
@@ -55,7 +55,7 @@
             }
         }
         self.mend_partial_gangs();
-        self.accounting = JobAccounting::inherit(now, !inherited.is_empty());
+        self.accounting = JobAccounting::recovered(now, !inherited.is_empty());
         inherited
     }
 
@@ -113,7 +113,7 @@
                         last_run: task.last_run,
                         failures: task.failures,
                         crashes: task.crash_history.count,
-                        crash_age_ms: task.crash_history.age_ms,
+                        crash_age_ms: task.crash_history.run_age_ms,
                         is_done,
                         worker,
                         checkpoint: Arc::clone(&task.checkpoint),
--- a/ragwortwick-area/src/placement.rs
+++ b/ragwortwick-area/src/placement.rs
@@ -119,7 +119,7 @@
         let job = self.jobs.get(&candidate.job_id);
         let step = job.and_then(|job| job.step(candidate.occurrence, candidate.step));
         let mut tasks = step.into_iter().flat_map(|step| &step.tasks);
-        tasks.any(|task| task.crash_history.starts_alone())
+        tasks.any(|task| task.crash_history.needs_isolation())
     }
 
     /// Places the tasks of a step that wait; tells whether none is left.
@@ -208,7 +208,13 @@
         let mut waiting: Vec<(bool, u32, u32)> = (0..)
             .zip(&step.tasks)
             .filter(|(_, task)| task.state == TaskState::Waiting)
-            .map(|(index, task)| (task.crash_history.starts_alone(), index, task.last_run + 1))
+            .map(|(index, task)| {
+                (
+                    task.crash_history.needs_isolation(),
+                    index,
+                    task.last_run + 1,
+                )
+            })
             .collect();
         // Those that start alone find fewer places, and must not hold up the others.
         waiting.sort_unstable();
@@ -245,7 +251,7 @@
         room.allocate(slot, spec.demand());
         if job
             .task(&task)
-            .is_some_and(|state| state.crash_history.starts_alone())
+            .is_some_and(|state| state.crash_history.needs_isolation())
         {
             room.close_slot(slot);
         }
--- a/ragwortwick-area/src/polls.rs
+++ b/ragwortwick-area/src/polls.rs
@@ -169,7 +169,7 @@
                     if confirm(now, held, row)
                         && let Some(job) = self.jobs.get_mut(&row.task.job_id)
                     {
-                        job.accounting.confirmed(now);
+                        job.accounting.on_confirmed(now);
                     }
                 }
                 _ => orphans.push(row),
--- a/ragwortwick-area/src/pool_capacity.rs
+++ b/ragwortwick-area/src/pool_capacity.rs
@@ -70,7 +70,7 @@
                     consecutive_failures: worker.consecutive_failures,
                     speed: worker.speed.speed(),
                     is_headroom: false,
-                    has_no_recent_start: worker.is_quiet(now),
+                    has_no_recent_start: worker.has_no_recent_start(now),
                     is_closed: false,
                 });
             }
--- a/ragwortwick-area/src/preemption.rs
+++ b/ragwortwick-area/src/preemption.rs
@@ -241,7 +241,7 @@
                     };
                     (held.placed_at, victim)
                 });
-                let weight = self.limits.weights.of(held.priority);
+                let weight = self.limits.weights.of_priority(held.priority);
                 victim.cost += weight * waste(spec.need, lost_ms + RESTART_MS);
                 victim.lost_work += waste(spec.need, lost_ms);
                 victim.on.insert(name.clone());
@@ -258,7 +258,7 @@
     fn stop_victim(&mut self, now: TimeMs, victim: &Victim, taker: &JobId) {
         let group = &victim.group;
         if let Some(job) = self.jobs.get_mut(&group.step.job_id) {
-            job.accounting.displaced_by = Some(taker.clone());
+            job.accounting.preempted_by = Some(taker.clone());
         }
         for worker in &victim.on {
             self.stop_matching_on(now, worker, RunEndReason::Displaced, |task| {
--- a/ragwortwick-area/src/record_batches.rs
+++ b/ragwortwick-area/src/record_batches.rs
@@ -98,17 +98,17 @@
 }
 
 impl RecordBatches {
-    pub(crate) fn mark(&mut self, job_id: &JobId) {
+    pub(crate) fn mark_dirty(&mut self, job_id: &JobId) {
         self.dirty.insert(job_id);
     }
 
-    pub(crate) fn note(&mut self, worker: &WorkerName, number: u64) {
+    pub(crate) fn ack_end_when_stored(&mut self, worker: &WorkerName, number: u64) {
         self.notes.insert(worker.clone(), number);
     }
 
     /// Notes a start that has to be in the record of its job before it is sent.
-    pub(crate) fn intend(&mut self, worker: &WorkerName, task: &TaskId, run: u32) {
-        self.mark(&task.job_id);
+    pub(crate) fn start_when_stored(&mut self, worker: &WorkerName, task: &TaskId, run: u32) {
+        self.mark_dirty(&task.job_id);
         let intents = self.intents.entry(task.job_id.clone()).or_default();
         intents.push(PendingStart {
             worker: worker.clone(),
@@ -117,7 +117,7 @@
         });
     }
 
-    pub(crate) fn is_waiting(&self) -> bool {
+    pub(crate) fn has_pending(&self) -> bool {
         !self.in_flight.is_empty() || !self.dirty.is_empty() || !self.notes.is_empty()
     }
 
@@ -153,7 +153,7 @@
     ///
     /// A record is stored before the start that it announces and before its worker may forget an
     /// end, so that a successor knows of every run there can be and misses no end.
-    pub(crate) fn flush(&mut self, now: TimeMs) {
+    pub(crate) fn send_record_batches(&mut self, now: TimeMs) {
         if !self.can_start_work(now) {
             return;
         }
@@ -223,7 +223,7 @@
         self.actions.push(Action::Store { batch, records });
     }
 
-    pub(crate) fn stored(&mut self, now: TimeMs, batch: u64) {
+    pub(crate) fn on_batch_stored(&mut self, now: TimeMs, batch: u64) {
         let Some(in_flight) = self.records.in_flight.remove(&batch) else {
             return;
         };
@@ -245,7 +245,7 @@
     }
 
     /// Drops jobs that ended long ago, here and in the store.
-    pub(crate) fn forget_old(&mut self, now: TimeMs) {
+    pub(crate) fn remove_expired_jobs(&mut self, now: TimeMs) {
         let keep_ms = DurationMs(self.limits.retention_ms.0 + FORGET_MARGIN_MS.0);
         let old: Vec<JobId> = self
             .jobs
--- a/ragwortwick-area/src/reservation.rs
+++ b/ragwortwick-area/src/reservation.rs
@@ -191,7 +191,7 @@
         }
         let since = self.started_at.unwrap_or(self.placed_at);
         let told = self.tracker.zip(clock_ms);
-        let told = told.and_then(|(watch, clock_ms)| watch.rest_ms(clock_ms));
+        let told = told.and_then(|(watch, clock_ms)| watch.remaining_ms(clock_ms));
         told.unwrap_or_else(|| {
             let rest = self.expected_ms.0.saturating_sub(now.since(since).0);
             // What should be over already goes on for a while.
--- a/ragwortwick-area/src/run_ends.rs
+++ b/ragwortwick-area/src/run_ends.rs
@@ -108,12 +108,12 @@
         let settled = job.apply_outcome(task, run, outcome, &held.checkpoint, attempts);
         job.last_run_ended_at = now;
         if why != RunEndReason::Done {
-            job.accounting.lost(why, vain_ms, lost_core_ms);
+            job.accounting.on_run_lost(why, vain_ms, lost_core_ms);
         }
         if job.is_idle() {
-            job.accounting.idle(now);
+            job.accounting.on_idle(now);
         }
-        self.records.mark(&task.job_id);
+        self.records.mark_dirty(&task.job_id);
         self.needs_pass = true;
         match settled {
             FollowUp::None => {}
@@ -168,7 +168,7 @@
             worker.stored_end = worker.acked_end;
             worker.received_end = worker.acked_end;
         }
-        self.worker_lost(now, worker_name, WorkerLossCause::Crashed);
+        self.lose_worker(now, worker_name, WorkerLossCause::Crashed);
     }
 
     /// Gives up runs on silent workers whose lease must have run out by now.
@@ -191,7 +191,7 @@
             .map(|(name, _)| name.clone())
             .collect();
         for name in expired {
-            self.worker_lost(now, &name, WorkerLossCause::OutOfReach);
+            self.lose_worker(now, &name, WorkerLossCause::OutOfReach);
         }
     }
 
@@ -229,13 +229,13 @@
         }
         worker.received_end = highest;
         if has_ends {
-            self.records.note(worker_name, highest);
+            self.records.ack_end_when_stored(worker_name, highest);
         }
         for end in new_ends {
             self.end_listed(now, worker_name, end);
         }
         self.reconcile_running(now, worker_name, sent_at, &look.running);
-        self.hear_progress(now, worker_name, look);
+        self.check_progress(now, worker_name, look);
         self.pace_fillers(now, worker_name);
     }
 }
--- a/ragwortwick-area/src/speed.rs
+++ b/ragwortwick-area/src/speed.rs
@@ -97,11 +97,11 @@
 impl ProgressTracker {
     /// The whole duration of the run once enough of it was seen; none a second time.
     fn take_duration(&mut self) -> Option<DurationMs> {
-        if self.is_compared || self.seen_percent() < LEAST_SEEN_PERCENT {
+        if self.is_speed_sampled || self.observed_percent() < LEAST_SEEN_PERCENT {
             return None;
         }
-        let whole_ms = self.whole_ms()?;
-        self.is_compared = true;
+        let whole_ms = self.total_ms()?;
+        self.is_speed_sampled = true;
         Some(whole_ms)
     }
 }
@@ -135,7 +135,7 @@
         let job = self.jobs.get(&task.job_id);
         let spec = job.and_then(|job| job.spec(task.step));
         let is_gang = spec.is_none_or(|spec| spec.is_gang);
-        let is_compared = held.tracker.is_some_and(|watch| watch.is_compared);
+        let is_compared = held.tracker.is_some_and(|watch| watch.is_speed_sampled);
         let is_whole = !held.is_resumed && !is_compared && !is_gang;
         if let Some(started_at) = held.started_at.filter(|_| is_whole) {
             self.hear_duration(worker_name, task, now.since(started_at));
--- a/ragwortwick-area/src/stalls.rs
+++ b/ragwortwick-area/src/stalls.rs
@@ -35,22 +35,23 @@
     /// Takes in what the worker tells of the run's progress.
     fn hear_progress(&mut self, clock_ms: u64, percent: u32) -> ProgressChange {
         let Some(watch) = &mut self.tracker else {
-            self.tracker = Some(ProgressTracker::begin(clock_ms, percent));
-            return ProgressChange::Unknown;
+            self.tracker = Some(ProgressTracker::new(clock_ms, percent));
+            return ProgressChange::Inconclusive;
         };
-        watch.hear(clock_ms, percent, self.expected_ms)
+        watch.record(clock_ms, percent, self.expected_ms)
     }
 
     /// How long it has stood still when it was last heard of.
     fn still_ms(&self) -> DurationMs {
-        self.tracker.map_or(DurationMs(0), |watch| watch.still_ms())
+        self.tracker
+            .map_or(DurationMs(0), |watch| watch.stalled_ms())
     }
 
     /// Time that the work took which its stop throws away.
     fn lost_by_move(&self, restore_ms: DurationMs) -> DurationMs {
         match self.tracker {
             _ if self.saves_checkpoints => restore_ms,
-            Some(watch) => watch.done_ms(self.expected_ms),
+            Some(watch) => watch.completed_work_ms(self.expected_ms),
             None => DurationMs(0),
         }
     }
@@ -70,8 +71,8 @@
                 continue;
             }
             match held.hear_progress(look.clock_ms, row.percent) {
-                ProgressChange::Unknown => {}
-                ProgressChange::Moving => is_moving = true,
+                ProgressChange::Inconclusive => {}
+                ProgressChange::Advancing => is_moving = true,
                 ProgressChange::Stalled if held.still_ms() > LONGEST_STALL_MS => {}
                 ProgressChange::Stalled => {
                     stalled.push((row.task.clone(), held.still_ms()));
@@ -89,7 +90,7 @@
 
 impl Coordinator {
     /// Takes in what a look tells of progress, and stops what is better off elsewhere.
-    pub(crate) fn hear_progress(
+    pub(crate) fn check_progress(
         &mut self,
         now: TimeMs,
         worker_name: &WorkerName,
--- a/ragwortwick-area/src/starts.rs
+++ b/ragwortwick-area/src/starts.rs
@@ -188,14 +188,14 @@
         match reply {
             OrderReply::Accepted { clock_ms } => {
                 if !held.is_resumed {
-                    held.tracker = Some(ProgressTracker::begin(clock_ms, 0));
+                    held.tracker = Some(ProgressTracker::new(clock_ms, 0));
                 }
                 held.phase = AllocationPhase::Running { since: now };
                 held.started_at = Some(now);
                 worker.poll_by(now);
                 if let Some(job) = self.jobs.get_mut(&task.job_id) {
-                    job.accounting.confirmed(now);
-                    job.backoff.accepted();
+                    job.accounting.on_confirmed(now);
+                    job.backoff.reset();
                 }
                 self.pace_fillers(now, worker_name);
             }
@@ -218,7 +218,7 @@
                 let is_refused_as_is =
                     matches!(cause, RefusalCause::Invalid | RefusalCause::LeaseOver);
                 if is_refused_as_is && let Some(job) = self.jobs.get_mut(&task.job_id) {
-                    job.backoff.refused(now);
+                    job.backoff.on_refused(now);
                 }
                 if cause == RefusalCause::NoTicket {
                     self.advice.discard_ticket(worker_name, task);
@@ -256,8 +256,8 @@
             ..Allocation::awaiting_record(now, spec, run, priority)
         };
         job.mark_placed(task, worker_name, run);
-        job.accounting.placed(now);
-        self.records.intend(worker_name, task, run);
+        job.accounting.on_placed(now);
+        self.records.start_when_stored(worker_name, task, run);
         if let Some(worker) = self.workers.get_mut(worker_name) {
             worker.allocate(task.clone(), held);
         }
--- a/ragwortwick-area/src/validation.rs
+++ b/ragwortwick-area/src/validation.rs
@@ -38,12 +38,12 @@
 }
 
 impl JobRecord {
-    /// `check` finds what could never be carried out.
+    /// `validate` finds what could never be carried out.
     ///
     /// # Errors
     ///
     /// Gives the first problem with its field.
-    pub fn check(&self) -> Result<(), JobValidationError> {
+    pub fn validate(&self) -> Result<(), JobValidationError> {
         if self.steps.is_empty() {
             return Err(problem("steps".to_owned(), "expected at least one step"));
         }
--- a/ragwortwick-area/src/value.rs
+++ b/ragwortwick-area/src/value.rs
@@ -61,7 +61,7 @@
         let whole = total_work(job).max(1.0);
         // The worth grows with the whole job's work, at seven tenths of it.
         let mean = self.mean_work(&job.record.queue).unwrap_or(whole);
-        let value = weights.of(terms.priority) * (0.3 + 0.7 * whole / mean).min(4.0);
+        let value = weights.of_priority(terms.priority) * (0.3 + 0.7 * whole / mean).min(4.0);
         OccurrenceValue {
             value_density: value * share / spent,
             value,
@@ -82,7 +82,7 @@
                 .queues
                 .get(queue)
                 .map_or(0, |q| q.policy.priority);
-            value += self.limits.weights.of(priority) * f64::from(*count);
+            value += self.limits.weights.of_priority(priority) * f64::from(*count);
             work += sum * CORES_PER_ACCELERATOR_AS_FLOAT;
         }
         if work > 0.0 { value / work } else { 0.0 }
--- a/ragwortwick-area/src/worker.rs
+++ b/ragwortwick-area/src/worker.rs
@@ -212,7 +212,7 @@
             && self.clock.is_some()
             && now >= self.avoid_until
             && now >= self.stalled_until
-            && !self.is_on_trial(now)
+            && !self.is_isolating_suspect(now)
     }
 
     /// Whether a look is wanted: something runs, also for nobody, ends have to be forgotten, or it is not known whether
--- a/ragwortwick-area/tests/account.rs
+++ b/ragwortwick-area/tests/account.rs
@@ -19,10 +19,10 @@
 
 fn whole_ms(account: &JobAccounting) -> u64 {
     [
-        account.room_ms,
-        account.again_ms,
-        account.begin_ms,
-        account.run_ms,
+        account.queued_ms,
+        account.requeued_ms,
+        account.starting_ms,
+        account.running_ms,
     ]
     .iter()
     .map(|span_ms| span_ms.0)
@@ -69,16 +69,16 @@
 #[test]
 fn verify_a_displaced_job_tells_what_it_lost_and_for_whom() {
     let account = displaced(step(1, 8), 1_000);
-    let lost = &account.losses[&RunEndReason::Displaced];
+    let lost = &account.lost_work[&RunEndReason::Displaced];
     assert_eq!((account.starts, lost.runs), (2, 1));
     assert!(
         lost.core_ms >= 1_000 * 64,
         "a second of 8 accelerators: {lost:?}"
     );
-    assert_eq!(account.displaced_by, Some(JobId::new(URGENT)));
-    assert!(account.again_ms >= DurationMs(500), "{account:?}");
+    assert_eq!(account.preempted_by, Some(JobId::new(URGENT)));
+    assert!(account.requeued_ms >= DurationMs(500), "{account:?}");
     assert!(account.lost_ms >= DurationMs(1_000), "{account:?}");
-    assert!(account.is_whole);
+    assert!(account.is_complete);
     let lived_ms = 20 + 1_000 + 200 + 20 + 500 + 20 + 300;
     assert_eq!(whole_ms(&account), lived_ms, "{account:?}");
 }
@@ -109,7 +109,7 @@
 #[test]
 fn verify_time_whose_work_was_saved_is_not_in_vain() {
     let account = displaced(saving(), 5_000);
-    assert!(account.run_ms >= DurationMs(5_000), "{account:?}");
+    assert!(account.running_ms >= DurationMs(5_000), "{account:?}");
     assert!(account.lost_ms < DurationMs(500), "{account:?}");
 }
 
@@ -128,7 +128,7 @@
     rig.advance(20);
     let told = accounts(&mut rig);
     assert_eq!(told.len(), 1);
-    assert!(!told[0].1.losses.contains_key(&RunEndReason::Done));
+    assert!(!told[0].1.lost_work.contains_key(&RunEndReason::Done));
     rig.advance(500);
     assert!(accounts(&mut rig).is_empty());
 }
--- a/ragwortwick-area/tests/crashes.rs
+++ b/ragwortwick-area/tests/crashes.rs
@@ -322,7 +322,7 @@
     fleet.crash(&mut rig, &again[0].0);
     let told = rig.losses();
     assert_eq!(told[0].runs.len(), 2);
-    assert_eq!(told[0].blamed, vec![(task, 2)]);
+    assert_eq!(told[0].suspects, vec![(task, 2)]);
 }
 
 /// A start that each worker refuses for good would be sent again with each pass, to one after the other.
--- a/ragwortwick-area/tests/losses.rs
+++ b/ragwortwick-area/tests/losses.rs
@@ -41,8 +41,8 @@
     let told = rig.losses();
     let loss_of = |name: &WorkerName| told.iter().find(|lost| lost.worker == *name);
     let crash = loss_of(crashed).expect("the crash is told");
-    assert_eq!(crash.loss, WorkerLossCause::Crashed);
-    let kind_of = |lost: &WorkerLossReport| lost.silence.map(|silence| silence.kind);
+    assert_eq!(crash.cause, WorkerLossCause::Crashed);
+    let kind_of = |lost: &WorkerLossReport| lost.contact_loss.map(|silence| silence.kind);
     assert_eq!(kind_of(crash), Some(ContactLossKind::Closed));
     assert_eq!(
         crash.runs,
@@ -50,10 +50,10 @@
     );
     assert_eq!(crash.lost_together, 1, "the leaving one");
     assert_eq!(
-        loss_of(leaving).map(|lost| lost.loss),
+        loss_of(leaving).map(|lost| lost.cause),
         Some(WorkerLossCause::Left)
     );
     let gone = loss_of(cut).expect("the cut is told");
-    assert_eq!(gone.loss, WorkerLossCause::OutOfReach);
+    assert_eq!(gone.cause, WorkerLossCause::OutOfReach);
     assert_eq!(kind_of(gone), Some(ContactLossKind::Unanswered));
 }
--- a/ragwortwick-daemon/src/area/action_dispatcher.rs
+++ b/ragwortwick-daemon/src/area/action_dispatcher.rs
@@ -87,7 +87,7 @@
 
     /// Tells what operators need to see whether the task or the worker was at fault.
     fn report_loss(&self, lost: &WorkerLossReport) {
-        let cause = lost.loss.to_string();
+        let cause = lost.cause.to_string();
         let labels = [cause.as_str()];
         self.metrics.workers_lost.with_label_values(&labels).inc();
         let ages = lost.runs.iter().map(|(_, age_ms)| *age_ms);
@@ -99,7 +99,7 @@
             rack = lost.rack,
             term = self.sender.term,
             cause = cause,
-            silence = lost.silence.map_or_else(
+            silence = lost.contact_loss.map_or_else(
                 || "none".to_owned(),
                 |silence| format!("{:?}", silence.kind)
             ),
@@ -114,7 +114,7 @@
 
 /// The tasks that a crash counts against, as logs show them; `none` for none.
 fn blamed(lost: &WorkerLossReport) -> String {
-    let tasks = lost.blamed.iter();
+    let tasks = lost.suspects.iter();
     let tasks: Vec<String> = tasks
         .map(|(task, count)| format!("{task}:{count}"))
         .collect();
--- a/ragwortwick-daemon/src/area/batch_writer.rs
+++ b/ragwortwick-daemon/src/area/batch_writer.rs
@@ -83,14 +83,14 @@
 
     fn time_parts(&self, record: &JobRecord, account: &JobAccounting) {
         // What an earlier coordinator saw of the job is missing in the others.
-        if !account.is_whole {
+        if !account.is_complete {
             return;
         }
         let parts = [
-            ("room", account.room_ms),
-            ("again", account.again_ms),
-            ("begin", account.begin_ms),
-            ("run", account.run_ms),
+            ("room", account.queued_ms),
+            ("again", account.requeued_ms),
+            ("begin", account.starting_ms),
+            ("run", account.running_ms),
         ];
         for (part, spent_ms) in parts {
             let labels = [record.customer.as_str(), record.queue.as_str(), part];
@@ -103,11 +103,11 @@
 /// One line for each job, whatever else is left out: what `ragwortwick ends` reads.
 fn log_account(record: &JobRecord, phase: &str, took_ms: DurationMs, account: &JobAccounting) {
     let losses: Vec<String> = account
-        .losses
+        .lost_work
         .iter()
         .map(|(why, loss)| format!("{why}:{}:{}", loss.runs, loss.core_ms))
         .collect();
-    let displaced_by = account.displaced_by.as_ref().map_or("-", JobId::as_str);
+    let displaced_by = account.preempted_by.as_ref().map_or("-", JobId::as_str);
     log_event!(
         Info,
         "job_over",
@@ -119,11 +119,11 @@
         stretch = record.policy.stretch,
         target_ms = record.policy.target_latency_ms,
         has_set_times = record.schedule.is_some(),
-        is_whole = account.is_whole,
-        room_ms = account.room_ms,
-        again_ms = account.again_ms,
-        begin_ms = account.begin_ms,
-        run_ms = account.run_ms,
+        is_whole = account.is_complete,
+        room_ms = account.queued_ms,
+        again_ms = account.requeued_ms,
+        begin_ms = account.starting_ms,
+        run_ms = account.running_ms,
         lost_ms = account.lost_ms,
         starts = account.starts,
         losses = losses.join(","),
--- a/ragwortwick-daemon/src/area/job_api.rs
+++ b/ragwortwick-daemon/src/area/job_api.rs
@@ -227,7 +227,7 @@
         schedule: body.schedule,
         accepted_unix_ms: unix_now(),
     };
-    if let Err(error) = record.check() {
+    if let Err(error) = record.validate() {
         let text = error.to_string();
         log_event!(
             Info,
--- a/ragwortwick-daemon/src/area/settings.rs
+++ b/ragwortwick-daemon/src/area/settings.rs
@@ -61,7 +61,7 @@
         let mut reader = serde_json::Deserializer::from_str(text);
         let settings: Self =
             serde_path_to_error::deserialize(&mut reader).map_err(|error| error.to_string())?;
-        match settings.weights.problem() {
+        match settings.weights.validation_error() {
             Some(problem) => Err(problem.to_owned()),
             None => Ok(settings),
         }
--- a/ragwortwick-daemon/src/area/tests.rs
+++ b/ragwortwick-daemon/src/area/tests.rs
@@ -185,9 +185,12 @@
     };
     let settings = AreaSettings::parse(&text(r#"{"by_priority":[2,1]}"#)).expect("valid settings");
     let weights = settings.limits().weights;
-    assert!(weights.of(0) > weights.of(1));
+    assert!(weights.of_priority(0) > weights.of_priority(1));
     assert!(
-        weights.of(7).total_cmp(&weights.of(1)).is_eq(),
+        weights
+            .of_priority(7)
+            .total_cmp(&weights.of_priority(1))
+            .is_eq(),
         "the last holds on"
     );
     for (wrong, field) in [
