--- a/ragwortwick-daemon/src/daemon.rs
+++ b/ragwortwick-daemon/src/daemon.rs
@@ -10,7 +10,7 @@
 use tokio::sync::watch;
 
 use crate::peers::PeerServer;
-use crate::state_duties::{StateDuties, StateSources};
+use crate::state_components::{StateDuties, StateSources};
 use crate::{
     App, Clock, Lifecycle, Metrics, PeerClient, Requests, Settings, StoreClaims, ZoneStartError,
     http,
--- a/ragwortwick-daemon/src/lib.rs
+++ b/ragwortwick-daemon/src/lib.rs
@@ -5,8 +5,7 @@
 mod clock;
 mod config;
 mod daemon;
-mod duty;
-mod feeds;
+mod event_loop;
 mod http;
 mod jobs;
 mod keys;
@@ -16,8 +15,9 @@
 mod peers;
 mod requests;
 mod settings;
-mod state_duties;
+mod state_components;
 mod status;
+mod watches;
 mod zone;
 
 pub use app::App;
@@ -25,8 +25,7 @@
 pub use clock::{Clock, unix_now};
 pub use config::ConfigHandle;
 pub use daemon::{Daemon, DaemonError};
-pub use duty::{Duty, Machine, Ring, RingFull};
-pub use feeds::{Feeds, Lifecycle};
+pub use event_loop::{Duty, Machine, Ring, RingFull};
 pub use jobs::{JobError, JobsHandle};
 pub use logging::{finish_log, open_log};
 pub use metrics::{MetricDescription, MetricRegistry, Metrics, StateMetrics};
@@ -34,6 +33,7 @@
 pub use requests::{ClaimStore, IdsRefused, RequestLoad, Requests, RequestsHandle, StoreClaims};
 pub use settings::{FieldKind, SETTINGS_FIELDS, Settings, SettingsField, SettingsProblem};
 pub use status::{fleet_status, host_status};
+pub use watches::{Feeds, Lifecycle};
 pub use zone::{
     Claim, Ownership, OwnershipAction, OwnershipEvent, OwnershipGuard, OwnershipState, Tenure,
     ZoneHandle, ZoneStartError,
--- a/ragwortwick-daemon/src/requests/duty.rs
+++ b/ragwortwick-daemon/src/requests/duty.rs
@@ -18,7 +18,7 @@
 use super::claims::ClaimStore;
 use super::handle::RequestLoad;
 use super::sender::{Sender, Try, TryEnd};
-use crate::duty::{Machine, Ring};
+use crate::event_loop::{Machine, Ring};
 use crate::peers::{LocalLoad, PeerClient};
 
 /// Shortest time between two updates of what others see of this duty.
