--- a/ragwortwick-core/src/chart.rs
+++ b/ragwortwick-core/src/chart.rs
@@ -7,8 +7,8 @@
 
 use crate::{Error, Result};
 
-/// `Word` is a closed set of names that a chart file may use.
-pub trait Word: Copy + Eq + Ord + fmt::Debug + 'static {
+/// `ChartSymbol` is a closed set of names that a chart file may use.
+pub trait ChartSymbol: Copy + Eq + Ord + fmt::Debug + 'static {
     /// Every member of the set with its name in the file.
     const ALL: &'static [(&'static str, Self)];
 
@@ -29,18 +29,18 @@
     }
 }
 
-/// `Step` is what a chart does on one event.
+/// `Transition` is what a chart does on one event.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Step<'a, S, A> {
+pub struct Transition<'a, S, A> {
     /// The state after the event.
     pub next: S,
     /// The actions to take, in order.
     pub actions: &'a [A],
 }
 
-/// `Chart` is a checked state chart over states `S`, events `E`, guards `G` and actions `A`.
+/// `StateChart` is a checked state chart over states `S`, events `E`, guards `G` and actions `A`.
 #[derive(Clone, Debug)]
-pub struct Chart<S, E, G, A> {
+pub struct StateChart<S, E, G, A> {
     initial: S,
     finals: BTreeSet<S>,
     rows: Rows<S, E, G, A>,
@@ -79,7 +79,7 @@
     actions: Vec<String>,
 }
 
-impl<S: Word, E: Word, G: Word, A: Word> Chart<S, E, G, A> {
+impl<S: ChartSymbol, E: ChartSymbol, G: ChartSymbol, A: ChartSymbol> StateChart<S, E, G, A> {
     /// `parse` reads and checks a chart file.
     ///
     /// # Errors
@@ -137,11 +137,16 @@
         self.finals.contains(&state)
     }
 
-    /// `step` finds the first row for the event whose guard holds, or `None` if the event is ignored.
-    pub fn step(&self, state: S, event: E, holds: impl Fn(G) -> bool) -> Option<Step<'_, S, A>> {
+    /// `transition` finds the first row for the event whose guard holds, or `None` if the event is ignored.
+    pub fn transition(
+        &self,
+        state: S,
+        event: E,
+        holds: impl Fn(G) -> bool,
+    ) -> Option<Transition<'_, S, A>> {
         let rows = self.rows.get(&(state, event))?;
         let row = rows.iter().find(|row| row.guard.is_none_or(&holds))?;
-        Some(Step {
+        Some(Transition {
             next: row.next,
             actions: &row.actions,
         })
@@ -179,6 +184,6 @@
     }
 }
 
-fn word<W: Word>(chart: &str, kind: &str, name: &str) -> Result<W> {
+fn word<W: ChartSymbol>(chart: &str, kind: &str, name: &str) -> Result<W> {
     W::from_name(name).ok_or_else(|| Error::chart(chart, format!("unknown {kind} {name}")))
 }
--- a/ragwortwick-core/src/lib.rs
+++ b/ragwortwick-core/src/lib.rs
@@ -7,7 +7,7 @@
 mod units;
 mod verdict;
 
-pub use chart::{Chart, Step, Word};
+pub use chart::{ChartSymbol, StateChart, Transition};
 pub use error::{Error, Result};
 pub use ids::{
     ClassName, CustomerName, GangId, HostName, JobId, LabelName, PoolName, RackName, RequestId,
--- a/ragwortwick-core/tests/chart.rs
+++ b/ragwortwick-core/tests/chart.rs
@@ -1,6 +1,6 @@
 //! Checks that the chart loader refuses faulty files and that steps follow the rows.
 
-use ragwortwick_core::{Chart, Word, common};
+use ragwortwick_core::{ChartSymbol, StateChart, common};
 
 #[common(key)]
 enum State {
@@ -24,20 +24,20 @@
     Ring,
 }
 
-impl Word for State {
+impl ChartSymbol for State {
     const ALL: &'static [(&'static str, Self)] = &[("idle", Self::Idle), ("busy", Self::Busy)];
 }
-impl Word for Event {
+impl ChartSymbol for Event {
     const ALL: &'static [(&'static str, Self)] = &[("start", Self::Start), ("stop", Self::Stop)];
 }
-impl Word for Guard {
+impl ChartSymbol for Guard {
     const ALL: &'static [(&'static str, Self)] = &[("ready", Self::Ready)];
 }
-impl Word for Action {
+impl ChartSymbol for Action {
     const ALL: &'static [(&'static str, Self)] = &[("ring", Self::Ring)];
 }
 
-type TestChart = Chart<State, Event, Guard, Action>;
+type TestChart = StateChart<State, Event, Guard, Action>;
 
 fn chart_text(transitions: &str, finals: &str) -> String {
     format!(
@@ -52,14 +52,22 @@
 fn verify_step_follows_guarded_row() {
     let chart = TestChart::parse(&chart_text(&format!("{START},{STOP}"), "")).expect("valid chart");
     let step = chart
-        .step(State::Idle, Event::Start, |_| true)
+        .transition(State::Idle, Event::Start, |_| true)
         .expect("row applies");
     assert_eq!(
         (step.next, step.actions),
         (State::Busy, &[Action::Ring][..])
     );
-    assert!(chart.step(State::Idle, Event::Start, |_| false).is_none());
-    assert!(chart.step(State::Idle, Event::Stop, |_| true).is_none());
+    assert!(
+        chart
+            .transition(State::Idle, Event::Start, |_| false)
+            .is_none()
+    );
+    assert!(
+        chart
+            .transition(State::Idle, Event::Stop, |_| true)
+            .is_none()
+    );
 }
 
 #[test]
--- a/ragwortwick-daemon/src/app.rs
+++ b/ragwortwick-daemon/src/app.rs
@@ -6,7 +6,7 @@
 use gotham::state::StateData;
 
 use crate::{
-    Clock, ConfigHandle, Feeds, JobsHandle, Metrics, PeerClient, RequestsHandle, Settings,
+    Clock, ConfigHandle, JobsHandle, Metrics, PeerClient, RequestsHandle, Settings, StateWatches,
     ZoneHandle,
 };
 
@@ -20,7 +20,7 @@
     /// The process's metrics.
     pub metrics: Metrics,
     /// Latest facts.
-    pub feeds: Feeds,
+    pub watches: StateWatches,
     /// Calls to other entry hosts.
     pub peers: PeerClient,
     /// Short requests.
--- a/ragwortwick-daemon/src/area/coordinator_handler.rs
+++ b/ragwortwick-daemon/src/area/coordinator_handler.rs
@@ -6,24 +6,24 @@
 use ragwortwick_core::{DurationMs, TimeMs, log_event};
 use tokio::sync::mpsc;
 
-use crate::{Clock, Machine, Ring, RingFull, unix_now};
+use crate::{Clock, EventHandler, EventLoopSender, SendError, unix_now};
 
 /// Pause before an event that found the ring full is offered again.
 const FULL_PAUSE: Duration = Duration::from_millis(2);
 
 /// `EventSender` feeds the coordinator from the I/O runtime, without blocking its thread.
 #[derive(Clone, Debug)]
-pub(super) struct EventSender(pub(super) Ring<Event>);
+pub(super) struct EventSender(pub(super) EventLoopSender<Event>);
 
 impl EventSender {
     /// Sends an event; tells whether the coordinator still takes any.
     pub(super) async fn send(&self, event: Event) -> bool {
         let mut event = event;
         loop {
-            match self.0.offer(event) {
+            match self.0.try_send(event) {
                 Ok(()) => return true,
-                Err(RingFull(_)) if self.0.is_closed() => return false,
-                Err(RingFull(rejected)) => event = rejected,
+                Err(SendError(_)) if self.0.is_closed() => return false,
+                Err(SendError(rejected)) => event = rejected,
             }
             tokio::time::sleep(FULL_PAUSE).await;
         }
@@ -96,7 +96,7 @@
     }
 }
 
-impl Machine for CoordinatorHandler {
+impl EventHandler for CoordinatorHandler {
     type Event = Event;
 
     fn on_event(&mut self, now: TimeMs, event: Event) {
--- a/ragwortwick-daemon/src/area/term.rs
+++ b/ragwortwick-daemon/src/area/term.rs
@@ -20,7 +20,7 @@
 use super::store_health::StoreHealth;
 use super::unstored_completions::{self, UnstoredCompletions};
 use super::worker_feed::{WorkerFeed, read_workers};
-use crate::{Clock, Duty, unix_now};
+use crate::{Clock, EventLoop, unix_now};
 
 /// Events that may wait for the coordinator: several passes' worth at the planned size.
 const RING_LENGTH: usize = 16_384;
@@ -104,9 +104,9 @@
         start: started,
         machine: None,
     };
-    let duty = Duty::spawn("coordinator", RING_LENGTH, parts.clock, machine)
+    let duty = EventLoop::spawn("coordinator", RING_LENGTH, parts.clock, machine)
         .map_err(|error| StoreError::Refused(error.to_string()))?;
-    let events = EventSender(duty.ring());
+    let events = EventSender(duty.sender());
     let Some(jobs) = subscribe(parts, &events).await else {
         drop(start);
         duty.close();
@@ -282,7 +282,7 @@
     }
 }
 
-impl crate::Machine for LateMachine {
+impl crate::EventHandler for LateMachine {
     type Event = Event;
 
     fn on_event(&mut self, now: TimeMs, event: Event) {
@@ -298,7 +298,9 @@
     }
 
     fn next_wakeup(&self) -> Option<TimeMs> {
-        self.machine.as_ref().and_then(crate::Machine::next_wakeup)
+        self.machine
+            .as_ref()
+            .and_then(crate::EventHandler::next_wakeup)
     }
 }
 
--- a/ragwortwick-daemon/src/daemon.rs
+++ b/ragwortwick-daemon/src/daemon.rs
@@ -10,7 +10,7 @@
 use tokio::sync::watch;
 
 use crate::peers::PeerServer;
-use crate::state_components::{StateDuties, StateSources};
+use crate::state_components::{StateClients, StateComponents};
 use crate::{
     App, Clock, Lifecycle, Metrics, PeerClient, Requests, Settings, StoreClaims, ZoneStartError,
     http,
@@ -29,7 +29,7 @@
     /// cannot register the metrics: {0}
     Metrics(prometheus::Error),
     /// cannot start a duty: {0}
-    Duty(std::io::Error),
+    Thread(std::io::Error),
     /// {0}
     Zone(ZoneStartError),
 }
@@ -44,7 +44,7 @@
     peer_server: PeerServer,
     requests: Requests,
     lifecycle: watch::Sender<Lifecycle>,
-    state: StateDuties,
+    state: StateComponents,
 }
 
 impl Daemon {
@@ -58,14 +58,14 @@
         let clock = Clock::open();
         let metrics = Metrics::open().map_err(DaemonError::Metrics)?;
         let (lifecycle, lifecycle_feed) = watch::channel(Lifecycle::Running);
-        let sources = StateSources::open(&settings, clock, lifecycle_feed);
+        let sources = StateClients::open(&settings, clock, lifecycle_feed);
         let feeds = sources.feeds();
         metrics
             .state
             .follow_store(sources.store.counts())
             .map_err(DaemonError::Metrics)?;
         let peers = PeerClient::open(&settings, clock, feeds.clone());
-        let state = StateDuties::spawn(&settings, clock, &metrics, &peers, sources)
+        let state = StateComponents::spawn(&settings, clock, &metrics, &peers, sources)
             .map_err(DaemonError::Zone)?;
         let requests = Requests::open(
             &settings,
@@ -75,12 +75,12 @@
             peers.clone(),
             StoreClaims::open(&settings.store_address, clock),
         )
-        .map_err(DaemonError::Duty)?;
+        .map_err(DaemonError::Thread)?;
         let app = App {
             settings: Arc::clone(&settings),
             clock,
             metrics,
-            feeds,
+            watches: feeds,
             peers,
             requests: requests.handle(),
             jobs: state.jobs(),
--- a/ragwortwick-daemon/src/event_loop.rs
+++ b/ragwortwick-daemon/src/event_loop.rs
@@ -18,8 +18,8 @@
 /// leave the processor to the threads that it waits for.
 const LEAST_WAIT_MS: DurationMs = DurationMs(1);
 
-/// `Machine` is a state machine that a duty's thread drives.
-pub trait Machine: Send + 'static {
+/// `EventHandler` is a state machine that a duty's thread drives.
+pub trait EventHandler: Send + 'static {
     /// What the machine learns.
     type Event: Send + 'static;
 
@@ -33,25 +33,25 @@
     fn next_wakeup(&self) -> Option<TimeMs>;
 }
 
-/// `Ring` is the sending end of a duty's bounded ring; clones feed the same duty.
-pub struct Ring<E>(Sender<Message<E>>, Arc<AtomicBool>);
+/// `EventLoopSender` is the sending end of a duty's bounded ring; clones feed the same duty.
+pub struct EventLoopSender<E>(Sender<Message<E>>, Arc<AtomicBool>);
 
-/// `RingFull` gives back an event that found no place.
+/// `SendError` gives back an event that found no place.
 #[derive(Debug)]
-pub struct RingFull<E>(pub E);
+pub struct SendError<E>(pub E);
 
 enum Message<E> {
     Event(E),
     Stop,
 }
 
-impl<E> Clone for Ring<E> {
+impl<E> Clone for EventLoopSender<E> {
     fn clone(&self) -> Self {
         Self(self.0.clone(), Arc::clone(&self.1))
     }
 }
 
-impl<E> fmt::Debug for Ring<E> {
+impl<E> fmt::Debug for EventLoopSender<E> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Ring")
             .field("len", &self.0.len())
@@ -60,60 +60,60 @@
     }
 }
 
-impl<E> Ring<E> {
+impl<E> EventLoopSender<E> {
     /// `is_closed` tells whether the duty has ended, so that waiting for a place is in vain.
     #[must_use]
     pub fn is_closed(&self) -> bool {
         self.1.load(Ordering::SeqCst)
     }
 
-    /// `offer` puts the event into the ring without waiting.
+    /// `try_send` puts the event into the ring without waiting.
     ///
     /// # Errors
     ///
     /// Gives the event back if the ring is full or its duty has ended; the caller must refuse.
-    pub fn offer(&self, event: E) -> Result<(), RingFull<E>> {
+    pub fn try_send(&self, event: E) -> Result<(), SendError<E>> {
         self.0
             .try_send(Message::Event(event))
             .map_err(|error| match error {
                 TrySendError::Full(message) | TrySendError::Disconnected(message) => {
                     match message {
-                        Message::Event(event) => RingFull(event),
+                        Message::Event(event) => SendError(event),
                         Message::Stop => unreachable!("only events are offered"),
                     }
                 }
             })
     }
 
-    /// `push` waits for a place; for events that must not be lost, from threads that may wait.
+    /// `send` waits for a place; for events that must not be lost, from threads that may wait.
     ///
     /// # Errors
     ///
     /// Gives the event back if the duty has ended.
-    pub fn push(&self, event: E) -> Result<(), RingFull<E>> {
+    pub fn send(&self, event: E) -> Result<(), SendError<E>> {
         self.0
             .send(Message::Event(event))
             .map_err(|error| match error.0 {
-                Message::Event(event) => RingFull(event),
+                Message::Event(event) => SendError(event),
                 Message::Stop => unreachable!("only events are pushed"),
             })
     }
 }
 
-/// `Duty` is a running duty.
+/// `EventLoop` is a running duty.
 #[derive(Debug)]
-pub struct Duty<E> {
-    ring: Ring<E>,
+pub struct EventLoop<E> {
+    ring: EventLoopSender<E>,
     thread: JoinHandle<()>,
 }
 
-impl<E: Send + 'static> Duty<E> {
+impl<E: Send + 'static> EventLoop<E> {
     /// `spawn` starts the thread and gives the running handle.
     ///
     /// # Errors
     ///
     /// Fails if the system gives no thread.
-    pub fn spawn<M: Machine<Event = E>>(
+    pub fn spawn<M: EventHandler<Event = E>>(
         name: &str,
         capacity: usize,
         clock: Clock,
@@ -121,7 +121,7 @@
     ) -> io::Result<Self> {
         let (sender, receiver) = bounded(capacity);
         let has_ended = Arc::new(AtomicBool::new(false));
-        let ring = Ring(sender, Arc::clone(&has_ended));
+        let ring = EventLoopSender(sender, Arc::clone(&has_ended));
         let thread = Builder::new().name(name.to_owned()).spawn(move || {
             run(clock, machine, &receiver);
             has_ended.store(true, Ordering::SeqCst);
@@ -129,9 +129,9 @@
         Ok(Self { ring, thread })
     }
 
-    /// `ring` gives a sending end.
+    /// `sender` gives a sending end.
     #[must_use]
-    pub fn ring(&self) -> Ring<E> {
+    pub fn sender(&self) -> EventLoopSender<E> {
         self.ring.clone()
     }
 
@@ -144,7 +144,7 @@
     }
 }
 
-fn run<M: Machine>(clock: Clock, mut machine: M, receiver: &Receiver<Message<M::Event>>) {
+fn run<M: EventHandler>(clock: Clock, mut machine: M, receiver: &Receiver<Message<M::Event>>) {
     loop {
         let now = clock.now();
         let wakeup = machine.next_wakeup();
--- a/ragwortwick-daemon/src/http/caller.rs
+++ b/ragwortwick-daemon/src/http/caller.rs
@@ -89,7 +89,7 @@
 /// A caller that keeps its connection would send its next request into the closing of it and see
 /// no answer, so a stopping host asks each one to connect anew, through the balancer.
 fn parting(app: &App, mut response: Response<Body>) -> Response<Body> {
-    if *app.feeds.lifecycle.borrow() == Lifecycle::Stopping {
+    if *app.watches.lifecycle.borrow() == Lifecycle::Stopping {
         let value = HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, value);
     }
--- a/ragwortwick-daemon/src/http/health.rs
+++ b/ragwortwick-daemon/src/http/health.rs
@@ -15,7 +15,7 @@
 }
 
 async fn healthz(state: &mut State) -> SimpleHandlerResult {
-    let lifecycle = *App::borrow_from(state).feeds.lifecycle.borrow();
+    let lifecycle = *App::borrow_from(state).watches.lifecycle.borrow();
     // The balancer takes this host out before the listener closes, so no caller meets a closed port.
     let (status, text) = match lifecycle {
         Lifecycle::Running => (StatusCode::OK, "ok\n"),
--- a/ragwortwick-daemon/src/jobs/mod.rs
+++ b/ragwortwick-daemon/src/jobs/mod.rs
@@ -18,7 +18,7 @@
 pub(crate) use doubt::Doubts;
 pub(crate) use queue_limit::QueueLimit;
 
-use crate::nonce::Nonces;
+use crate::nonce::NonceGenerator;
 use crate::{Clock, ConfigHandle, PeerClient, ZoneHandle};
 
 /// When a caller may come back after the store gave no answer.
@@ -80,7 +80,7 @@
     pub(crate) peers: PeerClient,
     pub(crate) zone: ZoneHandle,
     pub(crate) clock: Clock,
-    pub(crate) nonces: Nonces,
+    pub(crate) nonces: NonceGenerator,
     pub(crate) queue_limit: QueueLimit,
     pub(crate) doubts: Doubts,
 }
--- a/ragwortwick-daemon/src/lib.rs
+++ b/ragwortwick-daemon/src/lib.rs
@@ -25,15 +25,15 @@
 pub use clock::{Clock, unix_now};
 pub use config::ConfigHandle;
 pub use daemon::{Daemon, DaemonError};
-pub use event_loop::{Duty, Machine, Ring, RingFull};
+pub use event_loop::{EventHandler, EventLoop, EventLoopSender, SendError};
 pub use jobs::{JobError, JobsHandle};
-pub use logging::{finish_log, open_log};
+pub use logging::{flush_log, open_log};
 pub use metrics::{MetricDescription, MetricRegistry, Metrics, StateMetrics};
 pub use peers::{LocalLoad, PEER_PROTOCOL, PeerClient, PeerError};
 pub use requests::{ClaimStore, IdsRefused, RequestLoad, Requests, RequestsHandle, StoreClaims};
 pub use settings::{FieldKind, SETTINGS_FIELDS, Settings, SettingsField, SettingsProblem};
 pub use status::{fleet_status, host_status};
-pub use watches::{Feeds, Lifecycle};
+pub use watches::{Lifecycle, StateWatches};
 pub use zone::{
     Claim, Ownership, OwnershipAction, OwnershipEvent, OwnershipGuard, OwnershipState, Tenure,
     ZoneHandle, ZoneStartError,
--- a/ragwortwick-daemon/src/logging.rs
+++ b/ragwortwick-daemon/src/logging.rs
@@ -104,7 +104,7 @@
     }
 }
 
-/// `finish_log` gives the writer time for the last lines of a process that ends.
-pub fn finish_log() {
+/// `flush_log` gives the writer time for the last lines of a process that ends.
+pub fn flush_log() {
     thread::sleep(BATCH_PAUSE * 3);
 }
--- a/ragwortwick-daemon/src/main.rs
+++ b/ragwortwick-daemon/src/main.rs
@@ -3,7 +3,7 @@
 use std::process::ExitCode;
 
 use ragwortwick_core::log_event;
-use ragwortwick_daemon::{AreaHost, AreaSettings, Daemon, Settings, finish_log, open_log};
+use ragwortwick_daemon::{AreaHost, AreaSettings, Daemon, Settings, flush_log, open_log};
 use tokio::runtime::{Builder, Runtime};
 use tokio::signal::unix::{SignalKind, signal};
 
@@ -106,7 +106,7 @@
             }
         }
         host.close().await;
-        finish_log();
+        flush_log();
         ExitCode::SUCCESS
     })
 }
@@ -156,7 +156,7 @@
                 terminate.recv().await;
                 // A second signal finds this handler in place and changes nothing.
                 daemon.close().await;
-                finish_log();
+                flush_log();
                 ExitCode::SUCCESS
             }
             Err(error) => {
--- a/ragwortwick-daemon/src/nonce.rs
+++ b/ragwortwick-daemon/src/nonce.rs
@@ -5,14 +5,14 @@
 
 use ragwortwick_core::HostName;
 
-/// `Nonces` gives texts that no other writer uses; clones count together.
+/// `NonceGenerator` gives texts that no other writer uses; clones count together.
 #[derive(Clone, Debug)]
-pub(crate) struct Nonces {
+pub(crate) struct NonceGenerator {
     prefix: Arc<str>,
     count: Arc<AtomicU64>,
 }
 
-impl Nonces {
+impl NonceGenerator {
     /// `new` starts the count of one start of the process.
     pub(crate) fn new(host: &HostName, incarnation: u64) -> Self {
         Self {
--- a/ragwortwick-daemon/src/peers/client.rs
+++ b/ragwortwick-daemon/src/peers/client.rs
@@ -11,7 +11,7 @@
 
 use super::link::PeerLink;
 use super::{PEER_PROTOCOL, PeerError};
-use crate::{Clock, Feeds, Lifecycle, Settings};
+use crate::{Clock, Lifecycle, Settings, StateWatches};
 
 /// Longest wait for a heartbeat's answer; then the connection counts as silent and is replaced.
 const HEARTBEAT_TIMEOUT_MS: DurationMs = DurationMs(1_000);
@@ -44,7 +44,7 @@
     host: HostName,
     zone: ZoneName,
     incarnation: u64,
-    feeds: Feeds,
+    feeds: StateWatches,
     peers: Mutex<BTreeMap<HostName, Peer>>,
     seen: watch::Sender<Arc<BTreeMap<HostName, PeerHello>>>,
     load: watch::Sender<LocalLoad>,
@@ -60,7 +60,7 @@
 impl PeerClient {
     /// `open` follows the host list and keeps a heartbeat to every other listed entry host.
     #[must_use]
-    pub fn open(settings: &Settings, clock: Clock, feeds: Feeds) -> Self {
+    pub fn open(settings: &Settings, clock: Clock, feeds: StateWatches) -> Self {
         let shared = Arc::new(Shared {
             host: settings.host.clone(),
             zone: settings.zone.clone(),
--- a/ragwortwick-daemon/src/requests/duty.rs
+++ b/ragwortwick-daemon/src/requests/duty.rs
@@ -18,7 +18,7 @@
 use super::claims::ClaimStore;
 use super::handle::RequestLoad;
 use super::sender::{Sender, Try, TryEnd};
-use crate::event_loop::{Machine, Ring};
+use crate::event_loop::{EventHandler, EventLoopSender};
 use crate::peers::{LocalLoad, PeerClient};
 
 /// Shortest time between two updates of what others see of this duty.
@@ -60,10 +60,10 @@
 
 /// `DutyRing` reaches the duty from its own tasks; it is set once the duty runs.
 #[derive(Clone, Debug, Default)]
-pub(super) struct DutyRing(Arc<OnceLock<Ring<DutyEvent>>>);
+pub(super) struct DutyRing(Arc<OnceLock<EventLoopSender<DutyEvent>>>);
 
 impl DutyRing {
-    pub(super) fn set(&self, ring: Ring<DutyEvent>) {
+    pub(super) fn set(&self, ring: EventLoopSender<DutyEvent>) {
         // It is set in one place only, before any task that uses it is started.
         drop(self.0.set(ring));
     }
@@ -71,7 +71,7 @@
     /// `offer` gives the event back if the ring is full.
     pub(super) fn offer(&self, event: DutyEvent) -> Result<(), DutyEvent> {
         match self.0.get() {
-            Some(ring) => ring.offer(event).map_err(|full| full.0),
+            Some(ring) => ring.try_send(event).map_err(|full| full.0),
             None => Err(event),
         }
     }
@@ -120,7 +120,7 @@
     answer: Option<String>,
 }
 
-impl<C: ClaimStore> Machine for RequestMachine<C> {
+impl<C: ClaimStore> EventHandler for RequestMachine<C> {
     type Event = DutyEvent;
 
     fn on_event(&mut self, now: TimeMs, event: DutyEvent) {
--- a/ragwortwick-daemon/src/requests/feed.rs
+++ b/ragwortwick-daemon/src/requests/feed.rs
@@ -8,11 +8,11 @@
 
 use super::duty::{DutyEvent, DutyRing};
 use super::sender::Sender;
-use crate::Feeds;
+use crate::StateWatches;
 use crate::peers::PeerClient;
 
 /// `follow_table` hands on every table that goes into force.
-pub(super) async fn follow_table(feeds: Feeds, ring: DutyRing) {
+pub(super) async fn follow_table(feeds: StateWatches, ring: DutyRing) {
     let mut table = feeds.table;
     loop {
         let current = table.borrow_and_update().clone();
@@ -27,7 +27,7 @@
 }
 
 /// `follow_hosts` hands on every change of the platform's list of runners.
-pub(super) async fn follow_hosts(feeds: Feeds, ring: DutyRing, sender: Sender) {
+pub(super) async fn follow_hosts(feeds: StateWatches, ring: DutyRing, sender: Sender) {
     let mut hosts = feeds.hosts;
     loop {
         let list = hosts.borrow_and_update().clone();
--- a/ragwortwick-daemon/src/requests/handle.rs
+++ b/ragwortwick-daemon/src/requests/handle.rs
@@ -25,7 +25,7 @@
 use super::once::OnceLog;
 use super::sender::Sender;
 use crate::peers::PeerClient;
-use crate::{Clock, Duty, Feeds, Lifecycle, Metrics, Settings};
+use crate::{Clock, EventLoop, Lifecycle, Metrics, Settings, StateWatches};
 
 /// Time to come back while no table is in force; the table arrives with the first peer or read.
 const NO_TABLE_RETRY_MS: DurationMs = DurationMs(1_000);
@@ -62,7 +62,7 @@
 #[derive(Debug)]
 pub struct Requests {
     handle: RequestsHandle,
-    duty: Duty<DutyEvent>,
+    duty: EventLoop<DutyEvent>,
     followers: Vec<JoinHandle<()>>,
 }
 
@@ -76,7 +76,7 @@
 struct Shared {
     host: HostName,
     clock: Clock,
-    feeds: Feeds,
+    feeds: StateWatches,
     metrics: Metrics,
     peers: PeerClient,
     ring: DutyRing,
@@ -96,7 +96,7 @@
         settings: &Settings,
         clock: Clock,
         metrics: Metrics,
-        feeds: Feeds,
+        feeds: StateWatches,
         peers: PeerClient,
         claims: C,
     ) -> io::Result<Self> {
@@ -118,8 +118,8 @@
             is_changed: false,
             next_tick: None,
         };
-        let duty = Duty::spawn("requests", settings.ring_length, clock, machine)?;
-        ring.set(duty.ring());
+        let duty = EventLoop::spawn("requests", settings.ring_length, clock, machine)?;
+        ring.set(duty.sender());
         let followers = vec![
             tokio::spawn(follow_table(feeds.clone(), ring.clone())),
             tokio::spawn(follow_hosts(feeds.clone(), ring.clone(), sender)),
--- a/ragwortwick-daemon/src/state_components.rs
+++ b/ragwortwick-daemon/src/state_components.rs
@@ -10,24 +10,25 @@
 
 use crate::config::{TableDuty, TableInForce};
 use crate::jobs::{Doubts, QueueLimit};
-use crate::nonce::Nonces;
+use crate::nonce::NonceGenerator;
 use crate::zone::{ZoneParts, ZoneRuntime, ZoneStartError};
 use crate::{
-    Clock, ConfigHandle, Feeds, JobsHandle, Lifecycle, Metrics, PeerClient, Settings, ZoneHandle,
+    Clock, ConfigHandle, JobsHandle, Lifecycle, Metrics, PeerClient, Settings, StateWatches,
+    ZoneHandle,
 };
 
-/// `StateSources` are the clients of the platform, running before anything needs them.
+/// `StateClients` are the clients of the platform, running before anything needs them.
 #[derive(Debug)]
-pub(crate) struct StateSources {
+pub(crate) struct StateClients {
     pub(crate) store: StoreClient,
     hosts: HostListPoller,
     in_force: TableInForce,
     waiting_jobs: watch::Sender<Arc<Vec<CustomerJobs>>>,
     owned_epoch: watch::Sender<Option<Epoch>>,
-    feeds: Feeds,
+    feeds: StateWatches,
 }
 
-impl StateSources {
+impl StateClients {
     /// `open` makes the clients and the feeds that follow them.
     pub(crate) fn open(
         settings: &Settings,
@@ -40,10 +41,10 @@
         let in_force = TableInForce::default();
         let (owned_epoch, owned_seen) = watch::channel(None);
         let (waiting_jobs, waiting_seen) = watch::channel(Arc::default());
-        let feeds = Feeds {
+        let feeds = StateWatches {
             table: in_force.subscribe(),
             hosts: hosts.hosts(),
-            store_is_reachable: store.reachable(),
+            is_store_reachable: store.reachable(),
             owned_epoch: owned_seen,
             waiting_jobs: waiting_seen,
             lifecycle,
@@ -59,14 +60,14 @@
     }
 
     /// `feeds` gives the feeds.
-    pub(crate) fn feeds(&self) -> Feeds {
+    pub(crate) fn feeds(&self) -> StateWatches {
         self.feeds.clone()
     }
 }
 
-/// `StateDuties` are the running duties.
+/// `StateComponents` are the running duties.
 #[derive(Debug)]
-pub(crate) struct StateDuties {
+pub(crate) struct StateComponents {
     hosts: HostListPoller,
     table: TableDuty,
     zone: ZoneRuntime,
@@ -74,16 +75,16 @@
     jobs: JobsHandle,
 }
 
-impl StateDuties {
+impl StateComponents {
     /// `spawn` starts following table, zone and jobs.
     pub(crate) fn spawn(
         settings: &Arc<Settings>,
         clock: Clock,
         metrics: &Metrics,
         peers: &PeerClient,
-        sources: StateSources,
+        sources: StateClients,
     ) -> Result<Self, ZoneStartError> {
-        let StateSources {
+        let StateClients {
             store,
             hosts,
             in_force,
@@ -91,7 +92,7 @@
             owned_epoch,
             feeds,
         } = sources;
-        let nonces = Nonces::new(&settings.host, clock.incarnation());
+        let nonces = NonceGenerator::new(&settings.host, clock.incarnation());
         let config = ConfigHandle::open(
             in_force,
             store.paced(),
--- a/ragwortwick-daemon/src/status.rs
+++ b/ragwortwick-daemon/src/status.rs
@@ -13,8 +13,8 @@
 /// `host_status` tells what this host knows by itself.
 pub async fn host_status(app: &App) -> HostStatus {
     let table_number = app.config.current().map_or(0, |table| table.number);
-    let store_is_reachable = *app.feeds.store_is_reachable.borrow();
-    let lifecycle = *app.feeds.lifecycle.borrow();
+    let store_is_reachable = *app.watches.is_store_reachable.borrow();
+    let lifecycle = *app.watches.lifecycle.borrow();
     let requests = app.requests.load();
     let owned_zone = owned_zone(app).await;
     HostStatus {
@@ -68,7 +68,7 @@
 }
 
 fn listed_peers(app: &App) -> Vec<HostName> {
-    let hosts = app.feeds.hosts.borrow();
+    let hosts = app.watches.hosts.borrow();
     let mut peers: Vec<HostName> = hosts
         .hosts
         .iter()
--- a/ragwortwick-daemon/src/watches.rs
+++ b/ragwortwick-daemon/src/watches.rs
@@ -15,15 +15,15 @@
     Stopping,
 }
 
-/// `Feeds` gives receivers that always hold the latest fact; clones follow the same facts.
+/// `StateWatches` gives receivers that always hold the latest fact; clones follow the same facts.
 #[derive(Clone, Debug)]
-pub struct Feeds {
+pub struct StateWatches {
     /// The table in force; `None` until one was seen.
     pub table: watch::Receiver<Option<Arc<AcceptedTable>>>,
     /// The platform's list of hosts; empty until it was read.
     pub hosts: watch::Receiver<Arc<HostList>>,
     /// Whether the store answered the last call.
-    pub store_is_reachable: watch::Receiver<bool>,
+    pub is_store_reachable: watch::Receiver<bool>,
     /// Epoch under which this host owns its zone.
     pub owned_epoch: watch::Receiver<Option<Epoch>>,
     /// Waiting jobs of the zone that this host owns, by customer; empty if it owns none.
--- a/ragwortwick-daemon/src/zone/handle.rs
+++ b/ragwortwick-daemon/src/zone/handle.rs
@@ -11,13 +11,13 @@
 use super::job_hints::JobHint;
 use super::job_ledger::StoredJob;
 use super::zone_event::ZoneDutyEvent;
-use crate::{Clock, Ring};
+use crate::{Clock, EventLoopSender};
 
 /// `ZoneHandle` talks to the zone duty; clones reach the same duty.
 #[derive(Clone, Debug)]
 pub struct ZoneHandle {
     pub(super) zone: ZoneName,
-    pub(super) ring: Ring<ZoneDutyEvent>,
+    pub(super) ring: EventLoopSender<ZoneDutyEvent>,
     pub(super) hints: mpsc::Sender<JobHint>,
     pub(super) tenure: Tenure,
     pub(super) clock: Clock,
@@ -48,7 +48,7 @@
     pub async fn status(&self) -> Option<ZoneStatus> {
         let (answer, answered) = oneshot::channel();
         // A full ring counts as no answer: the caller shows the zone as unknown and asks again.
-        self.ring.offer(ZoneDutyEvent::Status(answer)).ok()?;
+        self.ring.try_send(ZoneDutyEvent::Status(answer)).ok()?;
         answered.await.ok().flatten()
     }
 
@@ -56,7 +56,7 @@
     pub async fn why(&self, job_id: &JobId) -> Option<String> {
         let (answer, answered) = oneshot::channel();
         let question = ZoneDutyEvent::Why(job_id.clone(), answer);
-        self.ring.offer(question).ok()?;
+        self.ring.try_send(question).ok()?;
         answered.await.ok().flatten()
     }
 
@@ -82,7 +82,7 @@
     /// `cancel_job` tells the owner of a recorded wish to cancel.
     pub fn cancel_job(&self, job_id: &JobId) {
         let event = ZoneDutyEvent::JobCancelled(job_id.clone());
-        if self.ring.offer(event).is_err() {
+        if self.ring.try_send(event).is_err() {
             self.log_lost_hint();
         }
     }
--- a/ragwortwick-daemon/src/zone/job_feed.rs
+++ b/ragwortwick-daemon/src/zone/job_feed.rs
@@ -11,7 +11,7 @@
 use super::job_ledger::{JobLedger, StoredJob, decode_job, is_final};
 use super::job_retention::JobRetention;
 use super::zone_event::{ZoneDutyEvent, deliver};
-use crate::{Clock, Ring, keys};
+use crate::{Clock, EventLoopSender, keys};
 
 /// Longest wait of one watch; it bounds how late a due listing begins.
 const WATCH_MS: DurationMs = DurationMs(5_000);
@@ -33,7 +33,7 @@
     /// Records seen.
     pub(crate) ledger: JobLedger,
     /// The zone duty.
-    pub(crate) ring: Ring<ZoneDutyEvent>,
+    pub(crate) ring: EventLoopSender<ZoneDutyEvent>,
     /// The epoch under which this host owns the zone.
     pub(crate) owned: watch::Receiver<Option<Epoch>>,
     /// The process's clock.
@@ -130,7 +130,11 @@
 }
 
 /// `take_in` tells the zone duty of a record that is newer than what is known.
-pub(super) async fn take_in(ledger: &JobLedger, ring: &Ring<ZoneDutyEvent>, stored: StoredJob) {
+pub(super) async fn take_in(
+    ledger: &JobLedger,
+    ring: &EventLoopSender<ZoneDutyEvent>,
+    stored: StoredJob,
+) {
     if !ledger.take_in(stored.clone()) {
         return;
     }
--- a/ragwortwick-daemon/src/zone/job_hints.rs
+++ b/ragwortwick-daemon/src/zone/job_hints.rs
@@ -11,7 +11,7 @@
 use super::job_feed::take_in;
 use super::job_ledger::{JobLedger, StoredJob, decode_job};
 use super::zone_event::ZoneDutyEvent;
-use crate::{Ring, keys};
+use crate::{EventLoopSender, keys};
 
 /// Hints that may wait; one that finds no place costs the time until the watch brings the job.
 pub(super) const HINTS_LENGTH: usize = 1_024;
@@ -38,7 +38,7 @@
     /// Records seen.
     pub(super) ledger: JobLedger,
     /// The zone duty.
-    pub(super) ring: Ring<ZoneDutyEvent>,
+    pub(super) ring: EventLoopSender<ZoneDutyEvent>,
     /// The epoch under which this host owns the zone.
     pub(super) owned: watch::Receiver<Option<Epoch>>,
 }
--- a/ragwortwick-daemon/src/zone/job_writer.rs
+++ b/ragwortwick-daemon/src/zone/job_writer.rs
@@ -11,8 +11,8 @@
 use super::Tenure;
 use super::job_ledger::{JobLedger, StoredJob, decode_job, is_final};
 use super::zone_event::{ZoneDutyEvent, deliver};
-use crate::nonce::Nonces;
-use crate::{Clock, Ring, keys};
+use crate::nonce::NonceGenerator;
+use crate::{Clock, EventLoopSender, keys};
 
 /// `RecordOrder` is a record to write under an epoch.
 #[derive(Clone, Debug)]
@@ -35,9 +35,9 @@
     /// The process's clock.
     pub(crate) clock: Clock,
     /// Nonces of this process.
-    pub(crate) nonces: Nonces,
+    pub(crate) nonces: NonceGenerator,
     /// The zone duty.
-    pub(crate) ring: Ring<ZoneDutyEvent>,
+    pub(crate) ring: EventLoopSender<ZoneDutyEvent>,
 }
 
 /// `Attempted` tells what became of one try.
--- a/ragwortwick-daemon/src/zone/order_sender.rs
+++ b/ragwortwick-daemon/src/zone/order_sender.rs
@@ -11,7 +11,7 @@
 
 use super::Tenure;
 use super::zone_event::{OrderAnswer, ZoneDutyEvent, deliver};
-use crate::{Clock, Ring};
+use crate::{Clock, EventLoopSender};
 
 /// Orders under way at once; a zone of 350 workers renewed every 2 s needs far fewer.
 const MAX_IN_FLIGHT: usize = 256;
@@ -37,7 +37,7 @@
     client: WorkerClient,
     tenure: Tenure,
     clock: Clock,
-    ring: Ring<ZoneDutyEvent>,
+    ring: EventLoopSender<ZoneDutyEvent>,
 }
 
 impl OrderSender {
@@ -45,7 +45,7 @@
     pub(crate) fn spawn(
         tenure: Tenure,
         clock: Clock,
-        ring: Ring<ZoneDutyEvent>,
+        ring: EventLoopSender<ZoneDutyEvent>,
         orders: mpsc::Receiver<OutgoingOrder>,
     ) -> JoinHandle<()> {
         let sender = Self {
--- a/ragwortwick-daemon/src/zone/owner_duty.rs
+++ b/ragwortwick-daemon/src/zone/owner_duty.rs
@@ -8,8 +8,8 @@
 use super::ownership::renew_interval_ms;
 use super::zone_event::{ZoneDutyEvent, deliver};
 use super::{Claim, Ownership, OwnershipAction, OwnershipEvent, OwnershipState, Tenure};
-use crate::nonce::Nonces;
-use crate::{Clock, Lifecycle, Ring, keys};
+use crate::nonce::NonceGenerator;
+use crate::{Clock, EventLoopSender, Lifecycle, keys};
 
 /// Longest time between two looks at the zone's key by a host that does not own it.
 ///
@@ -30,11 +30,11 @@
     /// The process's clock.
     pub(crate) clock: Clock,
     /// Nonces of this process.
-    pub(crate) nonces: Nonces,
+    pub(crate) nonces: NonceGenerator,
     /// The permission to act.
     pub(crate) tenure: Tenure,
     /// The zone duty.
-    pub(crate) ring: Ring<ZoneDutyEvent>,
+    pub(crate) ring: EventLoopSender<ZoneDutyEvent>,
     /// The epoch owned, for the feeds.
     pub(crate) owned: watch::Sender<Option<Epoch>>,
     /// The owner that the store names.
@@ -257,8 +257,8 @@
             Info,
             "zone_ownership",
             zone = self.zone,
-            state = ragwortwick_core::Word::name(self.machine.state()),
-            cause = ragwortwick_core::Word::name(event),
+            state = ragwortwick_core::ChartSymbol::name(self.machine.state()),
+            cause = ragwortwick_core::ChartSymbol::name(event),
             epoch = self.claim.map_or(Epoch(0), |claim| claim.epoch)
         );
     }
--- a/ragwortwick-daemon/src/zone/ownership.rs
+++ b/ragwortwick-daemon/src/zone/ownership.rs
@@ -1,6 +1,6 @@
 //! The claim of this host on its zone, as a state machine over `charts/ownership.json`.
 
-use ragwortwick_core::{Chart, DurationMs, Epoch, Error, TimeMs, Word, common};
+use ragwortwick_core::{ChartSymbol, DurationMs, Epoch, Error, StateChart, TimeMs, common};
 
 const CHART: &str = include_str!("../../charts/ownership.json");
 
@@ -66,7 +66,7 @@
     Revoke,
 }
 
-impl Word for OwnershipState {
+impl ChartSymbol for OwnershipState {
     const ALL: &'static [(&'static str, Self)] = &[
         ("standby", Self::Standby),
         ("claiming", Self::Claiming),
@@ -76,7 +76,7 @@
     ];
 }
 
-impl Word for OwnershipEvent {
+impl ChartSymbol for OwnershipEvent {
     const ALL: &'static [(&'static str, Self)] = &[
         ("owner_seen", Self::OwnerSeen),
         ("owner_absent", Self::OwnerAbsent),
@@ -90,11 +90,11 @@
     ];
 }
 
-impl Word for OwnershipGuard {
+impl ChartSymbol for OwnershipGuard {
     const ALL: &'static [(&'static str, Self)] = &[("lease_has_lapsed", Self::LeaseHasLapsed)];
 }
 
-impl Word for OwnershipAction {
+impl ChartSymbol for OwnershipAction {
     const ALL: &'static [(&'static str, Self)] = &[
         ("claim", Self::Claim),
         ("gain", Self::Gain),
@@ -118,7 +118,7 @@
 /// `Ownership` follows the claim and knows until when this host may act.
 #[derive(Debug)]
 pub struct Ownership {
-    chart: Chart<OwnershipState, OwnershipEvent, OwnershipGuard, OwnershipAction>,
+    chart: StateChart<OwnershipState, OwnershipEvent, OwnershipGuard, OwnershipAction>,
     state: OwnershipState,
     ttl_ms: DurationMs,
     act_until: TimeMs,
@@ -131,7 +131,7 @@
     ///
     /// Fails if the chart is malformed.
     pub fn open(ttl_ms: DurationMs) -> Result<Self, Error> {
-        let chart = Chart::parse(CHART)?;
+        let chart = StateChart::parse(CHART)?;
         Ok(Self {
             state: chart.initial(),
             chart,
@@ -163,9 +163,11 @@
         event: OwnershipEvent,
     ) -> Vec<OwnershipAction> {
         let has_lapsed = now >= self.act_until;
-        let step = self.chart.step(self.state, event, |guard| match guard {
-            OwnershipGuard::LeaseHasLapsed => has_lapsed,
-        });
+        let step = self
+            .chart
+            .transition(self.state, event, |guard| match guard {
+                OwnershipGuard::LeaseHasLapsed => has_lapsed,
+            });
         let Some(step) = step else {
             return Vec::new();
         };
--- a/ragwortwick-daemon/src/zone/runtime.rs
+++ b/ragwortwick-daemon/src/zone/runtime.rs
@@ -24,8 +24,8 @@
 use super::zone_duty::{Outputs, ZoneDuty};
 use super::zone_event::{ZoneDutyEvent, deliver};
 use super::{Ownership, Tenure, ZoneHandle};
-use crate::nonce::Nonces;
-use crate::{Clock, Duty, Lifecycle, Metrics, PeerClient, Ring, Settings};
+use crate::nonce::NonceGenerator;
+use crate::{Clock, EventLoop, EventLoopSender, Lifecycle, Metrics, PeerClient, Settings};
 
 /// Orders and records that may wait for a place; beyond it orders count as silent.
 const OUTPUT_LENGTH: usize = 4_096;
@@ -51,7 +51,7 @@
     /// The store.
     pub(crate) store: StoreClient,
     /// Nonces of this process.
-    pub(crate) nonces: Nonces,
+    pub(crate) nonces: NonceGenerator,
     /// Calls to other entry hosts.
     pub(crate) peers: PeerClient,
     /// The process's metrics.
@@ -72,7 +72,7 @@
 #[derive(Debug)]
 pub(crate) struct ZoneRuntime {
     handle: ZoneHandle,
-    duty: Duty<ZoneDutyEvent>,
+    duty: EventLoop<ZoneDutyEvent>,
     owner: JoinHandle<()>,
     tasks: Vec<JoinHandle<()>>,
 }
@@ -94,7 +94,7 @@
             fenced,
         };
         let duty = spawn_duty(&parts, tenure.clone(), outputs).map_err(ZoneStartError::Thread)?;
-        let ring = duty.ring();
+        let ring = duty.sender();
         let (named, named_seen) = watch::channel(None);
         let (hints, hints_out) = mpsc::channel(HINTS_LENGTH);
         let mut tasks = spawn_feeds(&parts, &ring);
@@ -175,7 +175,7 @@
     parts: &ZoneParts,
     tenure: Tenure,
     outputs: Outputs,
-) -> io::Result<Duty<ZoneDutyEvent>> {
+) -> io::Result<EventLoop<ZoneDutyEvent>> {
     let settings = &parts.settings;
     let placer = ZonePlacer::new(
         settings.zone.clone(),
@@ -190,13 +190,13 @@
         outputs,
         parts.metrics.clone(),
     );
-    Duty::spawn("zone", settings.ring_length, parts.clock, machine)
+    EventLoop::spawn("zone", settings.ring_length, parts.clock, machine)
 }
 
 /// The tasks that read, write and count the records of the zone's jobs.
 fn spawn_jobs(
     parts: &ZoneParts,
-    ring: &Ring<ZoneDutyEvent>,
+    ring: &EventLoopSender<ZoneDutyEvent>,
     tenure: &Tenure,
     records: mpsc::Receiver<RecordOrder>,
     hints: mpsc::Receiver<JobHint>,
@@ -234,7 +234,7 @@
     ]
 }
 
-fn spawn_feeds(parts: &ZoneParts, ring: &Ring<ZoneDutyEvent>) -> Vec<JoinHandle<()>> {
+fn spawn_feeds(parts: &ZoneParts, ring: &EventLoopSender<ZoneDutyEvent>) -> Vec<JoinHandle<()>> {
     let mut table = parts.table.clone();
     let mut hosts = parts.hosts.clone();
     let table_ring = ring.clone();
--- a/ragwortwick-daemon/src/zone/tests.rs
+++ b/ragwortwick-daemon/src/zone/tests.rs
@@ -19,8 +19,8 @@
 use super::job_writer::{JobWriter, RecordOrder};
 use super::order_sender::{OrderSender, OutgoingOrder};
 use super::zone_event::ZoneDutyEvent;
-use crate::nonce::Nonces;
-use crate::{Clock, Duty, Machine};
+use crate::nonce::NonceGenerator;
+use crate::{Clock, EventHandler, EventLoop};
 
 /// Outer limit of a wait; only a hung or failed test reaches it.
 const LIMIT: Duration = Duration::from_secs(30);
@@ -28,7 +28,7 @@
 /// `Collector` is a duty that hands on what it learns.
 struct Collector(mpsc::Sender<ZoneDutyEvent>);
 
-impl Machine for Collector {
+impl EventHandler for Collector {
     type Event = ZoneDutyEvent;
 
     fn on_event(&mut self, _now: TimeMs, event: ZoneDutyEvent) {
@@ -45,13 +45,13 @@
 
 /// `Owner` is a host that believes it owns the zone.
 struct Owner {
-    duty: Duty<ZoneDutyEvent>,
+    duty: EventLoop<ZoneDutyEvent>,
     events: mpsc::Receiver<ZoneDutyEvent>,
     tenure: Tenure,
     clock: Clock,
     ledger: JobLedger,
     store: StoreClient,
-    nonces: Nonces,
+    nonces: NonceGenerator,
     epoch: Epoch,
 }
 
@@ -59,7 +59,7 @@
     fn open(store: &Store, name: &str, epoch: u64) -> Self {
         let clock = Clock::open();
         let (sender, events) = mpsc::channel();
-        let duty = Duty::spawn(name, 100, clock, Collector(sender)).expect("a thread");
+        let duty = EventLoop::spawn(name, 100, clock, Collector(sender)).expect("a thread");
         let tenure = Tenure::default();
         tenure.set(Epoch(epoch), clock.now() + DurationMs(60_000));
         let mut options = StoreOptions::new(store.address().to_string(), epoch);
@@ -71,7 +71,7 @@
             clock,
             ledger: JobLedger::default(),
             store: StoreClient::open(options),
-            nonces: Nonces::new(&name.into(), epoch),
+            nonces: NonceGenerator::new(&name.into(), epoch),
             epoch: Epoch(epoch),
         }
     }
@@ -84,7 +84,7 @@
             tenure: self.tenure.clone(),
             clock: self.clock,
             nonces: self.nonces.clone(),
-            ring: self.duty.ring(),
+            ring: self.duty.sender(),
         };
         drop(writer.spawn(orders_out));
         orders
@@ -92,7 +92,7 @@
 
     fn sender(&self) -> tokio::sync::mpsc::Sender<OutgoingOrder> {
         let (orders, orders_out) = tokio::sync::mpsc::channel(16);
-        let ring = self.duty.ring();
+        let ring = self.duty.sender();
         drop(OrderSender::spawn(
             self.tenure.clone(),
             self.clock,
@@ -314,7 +314,7 @@
         zone: ZoneName::new("east"),
         store: owner.store.clone(),
         ledger: owner.ledger.clone(),
-        ring: owner.duty.ring(),
+        ring: owner.duty.sender(),
         owned: is_owning,
         clock: owner.clock,
         keep_ms: DurationMs(60_000),
@@ -342,7 +342,7 @@
         zone: ZoneName::new("east"),
         store: owner.store.clone(),
         ledger: owner.ledger.clone(),
-        ring: owner.duty.ring(),
+        ring: owner.duty.sender(),
         owned: is_owning,
         clock: owner.clock,
         keep_ms: DurationMs(0),
--- a/ragwortwick-daemon/src/zone/zone_duty.rs
+++ b/ragwortwick-daemon/src/zone/zone_duty.rs
@@ -14,7 +14,7 @@
 use super::order_sender::OutgoingOrder;
 use super::peer_epochs::report_epoch;
 use super::zone_event::{OrderAnswer, ZoneDutyEvent};
-use crate::{Machine, Metrics};
+use crate::{EventHandler, Metrics};
 
 /// Wait before orders that could not leave are answered as silent and records are offered again.
 const RETRY_MS: DurationMs = DurationMs(50);
@@ -261,7 +261,7 @@
     }
 }
 
-impl Machine for ZoneDuty {
+impl EventHandler for ZoneDuty {
     type Event = ZoneDutyEvent;
 
     fn on_event(&mut self, now: TimeMs, event: ZoneDutyEvent) {
--- a/ragwortwick-daemon/src/zone/zone_event.rs
+++ b/ragwortwick-daemon/src/zone/zone_event.rs
@@ -8,7 +8,7 @@
 use ragwortwick_policy::OrderId;
 use tokio::sync::oneshot;
 
-use crate::Ring;
+use crate::EventLoopSender;
 
 /// `ZoneDutyEvent` is something that the zone duty learns or is asked.
 #[derive(Debug)]
@@ -61,8 +61,8 @@
 /// `deliver` waits, without holding up the runtime, until the ring has a place.
 ///
 /// An answer of a worker that got lost here would leave accelerators held for nobody.
-pub(crate) async fn deliver(ring: &Ring<ZoneDutyEvent>, mut event: ZoneDutyEvent) {
-    while let Err(full) = ring.offer(event) {
+pub(crate) async fn deliver(ring: &EventLoopSender<ZoneDutyEvent>, mut event: ZoneDutyEvent) {
+    while let Err(full) = ring.try_send(event) {
         if ring.is_closed() {
             return;
         }
--- a/ragwortwick-daemon/tests/requests/rig.rs
+++ b/ragwortwick-daemon/tests/requests/rig.rs
@@ -9,7 +9,8 @@
 };
 use ragwortwick_core::{DurationMs, HostName, RequestId, TimeMs, ZoneName};
 use ragwortwick_daemon::{
-    Clock, Feeds, Lifecycle, Metrics, PeerClient, Requests, RequestsHandle, Settings, StoreClaims,
+    Clock, Lifecycle, Metrics, PeerClient, Requests, RequestsHandle, Settings, StateWatches,
+    StoreClaims,
 };
 use ragwortwick_standin::{LogEvent, Relay, Runner, RunnerOptions, Store};
 use serde_json::json;
@@ -137,10 +138,10 @@
         }));
         let (store_feed, store_is_reachable) = watch::channel(true);
         let (lifecycle, lifecycle_feed) = watch::channel(Lifecycle::Running);
-        let feeds = Feeds {
+        let feeds = StateWatches {
             table: table_feed,
             hosts: hosts_feed,
-            store_is_reachable,
+            is_store_reachable: store_is_reachable,
             waiting_jobs: watch::channel(Arc::default()).1,
             owned_epoch: watch::channel(None).1,
             lifecycle: lifecycle_feed,
--- a/ragwortwick-policy/src/request/lifecycle.rs
+++ b/ragwortwick-policy/src/request/lifecycle.rs
@@ -1,6 +1,6 @@
 //! The words of the request's state chart, `charts/request.json`.
 
-use ragwortwick_core::{Chart, Word, common};
+use ragwortwick_core::{ChartSymbol, StateChart, common};
 
 const CHART: &str = include_str!("../../charts/request.json");
 
@@ -49,9 +49,9 @@
     FinishMayHaveRun,
 }
 
-pub(super) type Lifecycle = Chart<Phase, Happening, Condition, Effect>;
+pub(super) type Lifecycle = StateChart<Phase, Happening, Condition, Effect>;
 
-impl Word for Phase {
+impl ChartSymbol for Phase {
     const ALL: &'static [(&'static str, Self)] = &[
         ("waiting", Self::Waiting),
         ("claiming", Self::Claiming),
@@ -60,7 +60,7 @@
     ];
 }
 
-impl Word for Happening {
+impl ChartSymbol for Happening {
     const ALL: &'static [(&'static str, Self)] = &[
         ("picked", Self::Picked),
         ("given_up", Self::GivenUp),
@@ -73,14 +73,14 @@
     ];
 }
 
-impl Word for Condition {
+impl ChartSymbol for Condition {
     const ALL: &'static [(&'static str, Self)] = &[
         ("needs_claim", Self::NeedsClaim),
         ("may_retry", Self::MayRetry),
     ];
 }
 
-impl Word for Effect {
+impl ChartSymbol for Effect {
     const ALL: &'static [(&'static str, Self)] = &[
         ("claim", Self::Claim),
         ("send", Self::Send),
--- a/ragwortwick-policy/src/request/steps.rs
+++ b/ragwortwick-policy/src/request/steps.rs
@@ -38,7 +38,7 @@
             Condition::NeedsClaim => request.claim == ClaimState::Needed,
             Condition::MayRetry => request.is_retry,
         };
-        let Some(step) = self.chart.step(request.phase, happening, holds) else {
+        let Some(step) = self.chart.transition(request.phase, happening, holds) else {
             return;
         };
         let was_waiting = request.phase == Phase::Waiting;
--- a/ragwortwick-policy/src/zone/gang.rs
+++ b/ragwortwick-policy/src/zone/gang.rs
@@ -2,7 +2,7 @@
 
 use displaydoc::Display;
 use ragwortwick_border::{GangPhase, GangSpec};
-use ragwortwick_core::{Chart, JobId, TimeMs, Word, common};
+use ragwortwick_core::{ChartSymbol, JobId, StateChart, TimeMs, common};
 
 use super::cells::Part;
 
@@ -51,7 +51,7 @@
     Settle,
 }
 
-impl Word for GangState {
+impl ChartSymbol for GangState {
     const ALL: &'static [(&'static str, Self)] = &[
         ("reserving", Self::Reserving),
         ("claiming", Self::Claiming),
@@ -64,7 +64,7 @@
     ];
 }
 
-impl Word for GangEvent {
+impl ChartSymbol for GangEvent {
     const ALL: &'static [(&'static str, Self)] = &[
         ("blocked", Self::Blocked),
         ("unblocked", Self::Unblocked),
@@ -77,14 +77,14 @@
     ];
 }
 
-impl Word for GangGuard {
+impl ChartSymbol for GangGuard {
     const ALL: &'static [(&'static str, Self)] = &[
         ("start_unrecorded", Self::StartUnrecorded),
         ("reservations_fresh", Self::ReservationsFresh),
     ];
 }
 
-impl Word for GangAct {
+impl ChartSymbol for GangAct {
     const ALL: &'static [(&'static str, Self)] = &[
         ("reserve_members", Self::ReserveMembers),
         ("release_members", Self::ReleaseMembers),
@@ -97,7 +97,7 @@
 }
 
 /// `GangChart` is the chart of `charts/gang.json`.
-pub(super) type GangChart = Chart<GangState, GangEvent, GangGuard, GangAct>;
+pub(super) type GangChart = StateChart<GangState, GangEvent, GangGuard, GangAct>;
 
 /// `gang_chart` reads the committed chart file.
 ///
--- a/ragwortwick-policy/src/zone/lifecycle.rs
+++ b/ragwortwick-policy/src/zone/lifecycle.rs
@@ -23,7 +23,7 @@
             GangGuard::StartUnrecorded => self.is_start_unrecorded(gang),
             GangGuard::ReservationsFresh => self.are_reservations_fresh(now, gang),
         };
-        let Some(step) = self.chart.step(gang.state, event, holds) else {
+        let Some(step) = self.chart.transition(gang.state, event, holds) else {
             return;
         };
         let (next, actions) = (step.next, step.actions.to_vec());
--- a/ragwortwick-policy/src/zone/report.rs
+++ b/ragwortwick-policy/src/zone/report.rs
@@ -110,7 +110,7 @@
         } else {
             "within its customer's guarantee"
         };
-        let state = ragwortwick_core::Word::name(gang.state);
+        let state = ragwortwick_core::ChartSymbol::name(gang.state);
         Some(format!("{state} {share} on {}", places.join(", ")))
     }
 
