--- a/ragwortwick-area/src/messages.rs
+++ b/ragwortwick-area/src/messages.rs
@@ -258,7 +258,7 @@
     /// Whether callers see another phase than the last record told.
     pub has_new_phase: bool,
     /// How the job spent its time, with the record of its end; it isn't stored.
-    pub account: Option<JobAccounting>,
+    pub accounting: Option<JobAccounting>,
 }
 
 /// `RunEnded` tells that a run is over, for the log.
--- a/ragwortwick-area/src/record_batches.rs
+++ b/ragwortwick-area/src/record_batches.rs
@@ -212,7 +212,7 @@
                 job_id: job_id.clone(),
                 progress: job.to_progress(),
                 has_new_phase,
-                account: has_ended.then(|| job.accounting.clone()),
+                accounting: has_ended.then(|| job.accounting.clone()),
             });
         }
         self.records.last_batch += 1;
--- a/ragwortwick-area/tests/account.rs
+++ b/ragwortwick-area/tests/account.rs
@@ -11,7 +11,7 @@
     let mut accounts = Vec::new();
     for (batch, records) in rig.batches() {
         let ended = records.into_iter();
-        accounts.extend(ended.filter_map(|record| Some((record.job_id, record.account?))));
+        accounts.extend(ended.filter_map(|record| Some((record.job_id, record.accounting?))));
         rig.send(Event::BatchStored { batch });
     }
     accounts
--- a/ragwortwick-daemon/src/area/batch_writer.rs
+++ b/ragwortwick-daemon/src/area/batch_writer.rs
@@ -73,7 +73,7 @@
         let labels = [record.customer.as_str(), phase.as_str()];
         let timed = self.metrics.job_end_seconds.with_label_values(&labels);
         timed.observe(took_ms.as_secs_f64());
-        if let Some(account) = &stored.account {
+        if let Some(account) = &stored.accounting {
             log_account(&record, &phase, took_ms, account);
             self.time_parts(&record, account);
         } else {
--- a/ragwortwick-daemon/src/area/tests.rs
+++ b/ragwortwick-daemon/src/area/tests.rs
@@ -104,7 +104,7 @@
         job_id: record.job_id.clone(),
         progress,
         has_new_phase: true,
-        account: None,
+        accounting: None,
     };
     ends.report(&stored);
     ends.report(&stored);
@@ -129,7 +129,7 @@
         job_id: JobId::new(job_id),
         progress: JobProgress::default(),
         has_new_phase: false,
-        account: None,
+        accounting: None,
     };
     unstored.add(&task("a", 0), 1);
     unstored.assign_batch(1, &[record_of("a")]);
