--- a/ragwortwick-area/src/allocation.rs
+++ b/ragwortwick-area/src/allocation.rs
@@ -1,4 +1,4 @@
-//! One run that takes room on a worker, and how sure it is that it is there.
+//! Resources of a worker that are allocated to one run, and the state of that run as far as it is known.
 
 use std::sync::Arc;
 
@@ -10,32 +10,32 @@
 use crate::job::{Resources, StepSpec};
 use crate::progress_tracker::ProgressTracker;
 
-/// `AllocationPhase` tells how sure it is that a run is on its worker.
+/// `AllocationPhase` is what the coordinator knows about a run on its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AllocationPhase {
-    /// Its start waits until the store has the record of it.
+    /// The start order waits until the run is recorded in the store.
     AwaitingRecord,
-    /// Its start was sent and not answered yet.
+    /// The start order was sent, and no reply has arrived yet.
     StartSent {
-        /// When the start was last sent.
+        /// When the start order was last sent.
         sent_at: TimeMs,
-        /// Whether an answer is still awaited.
+        /// Whether a reply is pending.
         in_flight: bool,
     },
-    /// An earlier coordinator recorded it; a look will tell.
+    /// An earlier coordinator recorded the run; the next poll determines whether it exists.
     Recovered,
     /// The worker confirmed the start.
     Running {
         /// When the confirmation arrived.
         since: TimeMs,
     },
-    /// It has to stop.
+    /// The run has to stop.
     Stopping {
-        /// Why.
+        /// Why the run has to stop.
         why: RunEndReason,
-        /// When the stop was last sent; none before the first.
+        /// When the stop order was last sent; none if it was not sent yet.
         sent_at: Option<TimeMs>,
-        /// Whether an answer is still awaited.
+        /// Whether a reply is pending.
         in_flight: bool,
         /// When the worker confirmed the stop.
         confirmed_at: Option<TimeMs>,
@@ -43,7 +43,7 @@
 }
 
 impl AllocationPhase {
-    /// A stop that was not sent yet.
+    /// A stop whose order was not sent yet.
     pub(crate) fn stop_pending(why: RunEndReason) -> Self {
         Self::Stopping {
             why,
@@ -54,44 +54,44 @@
     }
 }
 
-/// `Allocation` is one run that takes room on a worker.
+/// `Allocation` is one run and the resources that it takes on a worker.
 #[derive(Clone, Debug)]
 pub(crate) struct Allocation {
     pub(crate) run: u32,
     pub(crate) resources: Resources,
     pub(crate) phase: AllocationPhase,
-    /// Zero comes first; what has a higher number may be preempted.
+    /// Zero is the highest priority; runs with higher numbers may be preempted.
     pub(crate) priority: u32,
-    /// When the start was decided.
+    /// When the run was placed.
     pub(crate) placed_at: TimeMs,
     /// When the worker confirmed the start.
     pub(crate) started_at: Option<TimeMs>,
-    /// Newest checkpoint seen.
+    /// Newest checkpoint that was reported.
     pub(crate) checkpoint: Arc<str>,
-    /// Whether it goes on from a checkpoint, or may have begun before this coordinator's term.
+    /// Whether the run resumes from a checkpoint, or may have started before this coordinator's term.
     pub(crate) is_resumed: bool,
-    /// How often its start was sent.
+    /// Number of start orders that were sent.
     pub(crate) start_attempts: u32,
-    /// Crashes of workers under its task before it began.
+    /// Worker crashes attributed to the task before this run.
     pub(crate) crash_history: CrashHistory,
-    /// What it is to others on its worker.
+    /// How the run affects others on the same worker.
     pub(crate) role: ColocationRole,
-    /// Whether it goes on from a checkpoint if it is stopped.
+    /// Whether the task resumes from a checkpoint after it is stopped.
     pub(crate) saves_checkpoints: bool,
-    /// How long it takes by its customer's estimate.
+    /// Duration of the run as estimated by the customer.
     pub(crate) expected_ms: DurationMs,
-    /// Whether its progress tells something: what lasts has none, and fillers are slowed down.
+    /// Whether progress is meaningful: long-running tasks have none, and fillers are slowed down on purpose.
     pub(crate) is_tracked: bool,
-    /// Its progress as last told.
+    /// Progress as of the last report.
     pub(crate) tracker: Option<ProgressTracker>,
-    /// The load that its worker told last.
+    /// Load as of the last report.
     pub(crate) load: u32,
-    /// The pace that its worker knows of; none if that is in doubt.
+    /// Pace that the worker has confirmed; none if it is uncertain.
     pub(crate) confirmed_pace_percent: Option<u32>,
 }
 
 impl Allocation {
-    /// A run whose start waits to be stored.
+    /// A run whose start order waits until the run is recorded.
     pub(crate) fn awaiting_record(now: TimeMs, spec: &StepSpec, run: u32, priority: u32) -> Self {
         Self {
             run,
@@ -118,7 +118,7 @@
         matches!(self.phase, AllocationPhase::Stopping { .. })
     }
 
-    /// How long it has run in vain if it is over now without having done its work.
+    /// Running time that is wasted if the run ends now without completing its work.
     pub(crate) fn wasted_ms(&self, now: TimeMs, restore_ms: DurationMs) -> DurationMs {
         let ran_ms = self.started_at.map_or(DurationMs(0), |at| now.since(at));
         if self.saves_checkpoints {
--- a/ragwortwick-area/src/lib.rs
+++ b/ragwortwick-area/src/lib.rs
@@ -1,7 +1,7 @@
 //! Scheduling of job graphs over the workers of one area, as a state machine without I/O.
 //!
-//! The coordinator learns by events and asks for actions; the present time is an argument. What it
-//! promises and why each safeguard is enough stands in docs/design/0050-platform.md.
+//! The coordinator receives events and returns actions; the current time is an argument. Its guarantees and
+//! the reasons for its safeguards are described in docs/design/0050-platform.md.
 
 mod accounting;
 mod advice;
--- a/ragwortwick-area/src/messages.rs
+++ b/ragwortwick-area/src/messages.rs
@@ -1,4 +1,4 @@
-//! What the coordinator learns and what it asks for.
+//! Events that the coordinator receives and actions that it requests.
 
 use std::sync::Arc;
 
@@ -12,45 +12,45 @@
 use crate::losses::WorkerLossReport;
 use crate::progress::JobProgress;
 
-/// `WorkerEntry` is what a worker tells of itself in the store.
+/// `WorkerEntry` is the entry of a worker in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerEntry {
-    /// Name of this life of the worker; a restarted worker has another.
+    /// Name of this incarnation of the worker; a restarted worker has a new one.
     pub name: WorkerName,
-    /// ip:port of its calls.
+    /// Address of the worker's API as ip:port.
     pub address: Arc<str>,
-    /// Pool that it works for.
+    /// Pool that the worker belongs to.
     pub pool: PoolName,
     /// Availability zone.
     pub zone: ZoneName,
     /// Rack.
     pub rack: RackName,
-    /// All its labels.
+    /// Labels of the worker.
     pub labels: Arc<[LabelName]>,
-    /// What it has in total.
+    /// Total resources of the worker.
     pub capacity: Resources,
-    /// Whether it is about to leave.
+    /// Whether the worker is about to leave.
     pub is_draining: bool,
-    /// Least time until a draining worker leaves.
+    /// Minimum time until a draining worker leaves.
     pub remaining_ms: Option<DurationMs>,
-    /// Its own clock when it wrote the entry.
+    /// The worker's clock when it wrote the entry.
     pub clock_ms: Option<u64>,
 }
 
-/// `EndKind` tells how a run ended.
+/// `EndKind` is how a run ended according to its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndKind {
-    /// It did its work.
+    /// The run completed its work.
     Done,
-    /// It failed, through its own fault or the worker's.
+    /// The run failed, because of the task or the worker.
     Failed,
-    /// It was told to stop.
+    /// The run was stopped by an order.
     Stopped,
-    /// Its worker's lease ran out.
+    /// The lease of the worker expired.
     LeaseExpired,
     /// Another member of its gang ended.
     GangBroken,
-    /// It waited in vain for the other members of its gang.
+    /// The other members of the gang did not start in time.
     GangIncomplete,
 }
 
@@ -63,129 +63,129 @@
     pub run: u32,
     /// Newest checkpoint, empty if there is none.
     pub checkpoint: Arc<str>,
-    /// Share of its work that is done.
+    /// Completed share of the work in per cent.
     pub percent: u32,
-    /// A rough figure of the last half second: the tail latency in milliseconds of a task that serves
-    /// users, thousandths of a core in use for any other.
+    /// Approximate load over the last half second: the tail latency in milliseconds of a latency-sensitive
+    /// task, or the processor use of any other task in thousandths of a core.
     pub load: u32,
 }
 
-/// `EndedTask` is one end that a worker lists until it is told that the end is known.
+/// `EndedTask` is a run end that a worker reports until the coordinator acknowledges it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndedTask {
-    /// Position in the worker's list of ends.
+    /// Sequence number in the worker's list of run ends.
     pub sequence: u64,
     /// The task.
     pub task: TaskId,
     /// Number of the run.
     pub run: u32,
-    /// How it ended.
+    /// How the run ended.
     pub kind: EndKind,
     /// Newest checkpoint, empty if there is none.
     pub checkpoint: Arc<str>,
 }
 
-/// `WorkerReport` is a worker's answer to a look at what runs there.
+/// `WorkerReport` is the reply of a worker to a poll.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WorkerReport {
     /// The worker's clock.
     pub clock_ms: u64,
-    /// What runs.
+    /// Runs in progress.
     pub running: Vec<RunningTask>,
-    /// What ended and is not yet forgotten.
+    /// Run ends that are not acknowledged yet.
     pub ended: Vec<EndedTask>,
 }
 
-/// `PollFailure` is why a look told nothing.
+/// `PollFailure` is why a poll returned no report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PollFailure {
-    /// The address answered that this life of the worker is over.
+    /// Another incarnation of the worker replied at the address.
     WrongLife,
-    /// The worker knows a coordinator of a later term.
+    /// The worker has received a fencing token of a later term.
     Fenced,
-    /// The other end refused or closed the connection.
+    /// The connection was refused or closed by the remote host.
     Closed,
-    /// There was no answer in time, or none that could be read.
+    /// No reply arrived in time, or the reply could not be decoded.
     NoAnswer,
 }
 
-/// `OrderReply` is how an order to a worker went.
+/// `OrderReply` is the result of an order to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderReply {
-    /// It is carried out.
+    /// The worker accepted the order.
     Accepted {
         /// The worker's clock.
         clock_ms: u64,
     },
-    /// It was not and never will be carried out.
+    /// The worker refused the order and will never execute it.
     Refused(RefusalCause),
-    /// Another life of the worker answers at that address.
+    /// Another incarnation of the worker replied at the address.
     WrongLife,
-    /// There is no answer; the order may be carried out, also later.
+    /// No reply arrived; the worker may execute the order, even later.
     Unknown,
 }
 
-/// `RefusalCause` is why a worker did not carry out an order.
+/// `RefusalCause` is why a worker refused an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalCause {
-    /// It has seen a higher fencing token: another coordinator is in charge.
+    /// The worker has received a higher fencing token from another coordinator.
     Fenced,
-    /// The run is not higher than one that ended or was stopped there.
+    /// The run number is not higher than that of a run that ended or was stopped there.
     StaleRun,
-    /// The lease in the order has run out.
+    /// The lease in the order has expired.
     LeaseOver,
-    /// There is not enough room.
+    /// The free capacity is insufficient.
     NoRoom,
-    /// The worker is unhealthy and did nothing.
+    /// The worker is unhealthy and ignored the order.
     Unhealthy,
-    /// The start carries no ticket that holds there.
+    /// The start carries no ticket that is valid on this worker.
     NoTicket,
-    /// The order is malformed or not allowed there.
+    /// The order is malformed or not permitted on this worker.
     Invalid,
 }
 
-/// `AdviceReply` is how a question to the advisor went.
+/// `AdviceReply` is the result of an advice request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdviceReply {
-    /// These workers may run the step, each with its ticket; the others may not.
+    /// The listed workers may run the step, each with its ticket; the others may not.
     Given {
         /// Workers and their tickets.
         allowed: Vec<(WorkerName, Arc<str>)>,
-        /// How long the tickets hold, if the answer tells.
+        /// Validity of the tickets, if the reply specifies it.
         valid_ms: Option<DurationMs>,
     },
-    /// There is no usable answer; the same question may be asked again.
+    /// No usable reply arrived; the request may be repeated.
     Failed,
 }
 
-/// `Event` is what the coordinator learns.
+/// `Event` is an input to the coordinator.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A desired state came into force.
+    /// A desired state has come into force.
     DesiredState(Arc<DesiredState>),
-    /// A worker wrote its entry.
+    /// A worker has written its entry.
     WorkerUpdated(WorkerEntry),
     /// A worker's entry was removed.
     WorkerRemoved(WorkerName),
-    /// The list of workers was confirmed as complete up to now.
+    /// The list of workers is confirmed to be complete up to now.
     WorkersConfirmed,
     /// A job was accepted.
     JobAccepted(Arc<JobRecord>),
-    /// A caller cancelled a job.
+    /// A client cancelled a job.
     JobCancelled(JobId),
-    /// The store has kept the batch.
+    /// The store has committed a batch.
     BatchStored {
         /// Number of the batch.
         batch: u64,
     },
-    /// An earlier coordinator heard that a run did its work, and could not store it.
+    /// An earlier coordinator received the completion of a run and could not store it.
     CompletionHandedOver {
         /// The task.
         task: TaskId,
         /// Its run.
         run: u32,
     },
-    /// A start was answered, or not.
+    /// A start order was replied to, or timed out.
     StartReplied {
         /// The worker.
         worker: WorkerName,
@@ -193,10 +193,10 @@
         task: TaskId,
         /// Its run.
         run: u32,
-        /// The answer.
+        /// The reply.
         reply: OrderReply,
     },
-    /// A stop was answered, or not.
+    /// A stop order was replied to, or timed out.
     StopReplied {
         /// The worker.
         worker: WorkerName,
@@ -204,26 +204,26 @@
         task: TaskId,
         /// Its run.
         run: u32,
-        /// The answer.
+        /// The reply.
         reply: OrderReply,
     },
-    /// A look was answered.
+    /// A worker replied to a poll.
     PollReplied {
         /// The worker.
         worker: WorkerName,
-        /// When the look was sent.
+        /// When the poll was sent.
         sent_at: TimeMs,
-        /// What it told.
+        /// The reply.
         report: WorkerReport,
     },
-    /// A look was not answered, or by another life of the worker.
+    /// A poll failed.
     PollFailed {
         /// The worker.
         worker: WorkerName,
-        /// Why it told nothing.
+        /// Why the poll failed.
         failure: PollFailure,
     },
-    /// A worker did not confirm the pace of a run.
+    /// A worker did not confirm a change of a run's pace.
     PaceFailed {
         /// The worker.
         worker: WorkerName,
@@ -232,36 +232,36 @@
         /// Its run.
         run: u32,
     },
-    /// The advisor answered a question, or did not.
+    /// The advisor replied to a request, or the request failed.
     AdviceReplied {
-        /// The step that was asked about.
+        /// The step of the request.
         step: StepId,
-        /// The workers that were asked about.
+        /// The workers of the request.
         asked: Vec<WorkerName>,
-        /// The answer.
+        /// The reply.
         reply: AdviceReply,
     },
-    /// The lease as coordinator holds until then.
+    /// The coordinator's own lease was extended.
     LeaseExtended {
-        /// Last moment at which orders may be sent.
+        /// When the lease ends; no orders may be sent after that.
         until: TimeMs,
     },
 }
 
-/// `ProgressRecord` is one record to store.
+/// `ProgressRecord` is the progress of one job to store.
 #[derive(Clone, Debug)]
 pub struct ProgressRecord {
     /// The job.
     pub job_id: JobId,
     /// Its progress.
     pub progress: JobProgress,
-    /// Whether callers see another phase than the last record told.
+    /// Whether the phase visible to clients differs from the last record.
     pub has_new_phase: bool,
-    /// How the job spent its time, with the record of its end; it isn't stored.
+    /// Accounting of the job, with the record of its end; it isn't stored.
     pub accounting: Option<JobAccounting>,
 }
 
-/// `RunEnded` tells that a run is over, for the log.
+/// `RunEnded` is the log entry for an ended run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunEnded {
     /// The worker.
@@ -270,15 +270,15 @@
     pub task: TaskId,
     /// Its run.
     pub run: u32,
-    /// How it is over.
+    /// Why the run ended.
     pub why: RunEndReason,
-    /// How long it ran, if its worker had confirmed it.
+    /// How long the run lasted, if its worker had confirmed the start.
     pub ran_ms: Option<DurationMs>,
-    /// Work that it had done and that has to be done again, in core-equivalents times milliseconds.
+    /// Lost work that has to be repeated, in core-equivalents times milliseconds.
     pub lost_core_ms: u64,
 }
 
-/// `Action` is what the coordinator asks for.
+/// `Action` is an output of the coordinator that its host executes.
 #[derive(Clone, Debug)]
 pub enum Action {
     /// Store the records in one transaction and report `Event::BatchStored`.
@@ -288,7 +288,7 @@
         /// At most `MAX_BATCH_RECORDS` records.
         records: Vec<ProgressRecord>,
     },
-    /// Tell a worker to start a run.
+    /// Order a worker to start a run.
     Start {
         /// The worker.
         worker: WorkerName,
@@ -298,16 +298,16 @@
         task: TaskId,
         /// Its run.
         run: u32,
-        /// Text for the task.
+        /// Payload of the task.
         payload: Arc<str>,
-        /// Checkpoint to resume from, empty for none.
+        /// Checkpoint to resume from, or empty.
         checkpoint: Arc<str>,
         /// End of the worker's lease, on its own clock.
         lease_until_ms: u64,
-        /// The advisor's ticket, on queues that need one.
+        /// Ticket of the advisor, if the queue requires one.
         ticket: Option<Arc<str>>,
     },
-    /// Let a run work at a share of its speed, and report `Event::PaceFailed` if that is not confirmed.
+    /// Limit the pace of a run, and report `Event::PaceFailed` if the worker does not confirm it.
     SetPace {
         /// The worker.
         worker: WorkerName,
@@ -317,19 +317,19 @@
         task: TaskId,
         /// Its run.
         run: u32,
-        /// From 0 to 100.
+        /// Share of the full speed, from 0 to 100.
         percent: u32,
     },
-    /// Ask the advisor which of the workers may run a step, and report `Event::AdviceReplied`.
+    /// Request advice on which of the workers may run a step, and report `Event::AdviceReplied`.
     RequestAdvice {
         /// The step.
         step: StepId,
         /// The workers.
         workers: Vec<WorkerName>,
-        /// Longest time that the answer takes if nothing else is asked.
+        /// Maximum time that the advisor takes if it has no other request.
         answer_ms: DurationMs,
     },
-    /// Tell a worker to stop a run.
+    /// Order a worker to stop a run.
     Stop {
         /// The worker.
         worker: WorkerName,
@@ -340,25 +340,25 @@
         /// Its run.
         run: u32,
     },
-    /// Renew a worker's lease and ask what runs there.
+    /// Renew the lease of a worker and request its report.
     Poll {
         /// The worker.
         worker: WorkerName,
         /// Its address.
         address: Arc<str>,
-        /// End of the lease on the worker's clock; none leaves it as it is.
+        /// End of the lease on the worker's clock; none if the lease is not renewed.
         lease_until_ms: Option<u64>,
-        /// Highest number of an end that is stored.
+        /// Highest sequence number of a run end whose effect is stored.
         acked_end: u64,
-        /// How long the worker may wait for an end before it answers.
+        /// How long the worker may wait for a run end before it replies.
         wait_ms: DurationMs,
     },
-    /// Log that a run is over.
+    /// Log the end of a run.
     LogRunEnd(RunEnded),
-    /// Log that a worker is lost, with runs.
+    /// Log the loss of a worker that had runs.
     LogWorkerLoss(WorkerLossReport),
-    /// A worker knows a coordinator of a later term: stop coordinating.
+    /// Stop coordinating, because a worker has received a fencing token of a later term.
     Resign,
-    /// Forget the records of a job that ended long ago.
+    /// Delete the records of a job whose retention has ended.
     DeleteJob(JobId),
 }
--- a/ragwortwick-area/src/outcome.rs
+++ b/ragwortwick-area/src/outcome.rs
@@ -1,35 +1,35 @@
-//! What the outcome of a run means for its step: a task on its own, or a gang that ends as one.
+//! Effect of a run's outcome on its step, for single tasks and for gangs, which end as a unit.
 
 use std::sync::Arc;
 
 use crate::job_state::{StepState, TaskState};
 use crate::losses::WorkerLossCause;
 
-/// `RunOutcome` is how a run is over for good.
+/// `RunOutcome` is the final outcome of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RunOutcome {
-    /// It did its work.
+    /// The run completed its work.
     Done,
-    /// It failed.
+    /// The run failed.
     Failed,
-    /// It ended without a verdict on the task: stopped, lapsed or never begun.
+    /// The run was stopped, expired or never started, which counts neither for nor against the task.
     NoVerdict,
-    /// It was lost with its worker.
+    /// The run was lost with its worker.
     Lost(WorkerLossCause),
 }
 
-/// `FollowUp` tells what a run's outcome means for the rest of the job.
+/// `FollowUp` is what a run's outcome requires for the rest of the job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FollowUp {
-    /// Nothing else has to be done.
+    /// Nothing is required.
     None,
     /// The other members of the gang have to stop.
     StopGang,
-    /// The job has come to its end; runs that are left have to stop.
+    /// The job has ended; its remaining runs have to stop.
     EndJob,
 }
 
-/// A task on its own: it is done, waits again, or has failed too often.
+/// Applies the outcome of a single task's run: the task is done, waits again, or has failed too often.
 pub(crate) fn apply_task_outcome(
     step: &mut StepState,
     index: usize,
@@ -59,7 +59,8 @@
     }
 }
 
-/// A gang ends as one: one member done is all done, and anything else ends the run for all.
+/// Applies the outcome of a gang member's run: a completed member completes the gang, and any other outcome
+/// ends the run of all members.
 pub(crate) fn apply_gang_outcome(
     step: &mut StepState,
     index: usize,
@@ -71,7 +72,7 @@
         return FollowUp::None;
     }
     if !checkpoint.is_empty() {
-        // The checkpoint of any member is good for all, and all have to resume from the same one.
+        // A checkpoint of any member is valid for the gang, and all members must resume from the same one.
         for task in &mut step.tasks {
             task.checkpoint = Arc::clone(checkpoint);
         }
@@ -79,7 +80,7 @@
     step.tasks[index].state = TaskState::AwaitingGang;
     match outcome {
         RunOutcome::Done => {
-            // Members whose end is not listed yet keep their room on their workers until it is.
+            // Members keep their resources until their workers report the end of their runs.
             for task in &mut step.tasks {
                 task.state = TaskState::Done;
             }
