--- a/ragwortwick-area/src/coordinator.rs
+++ b/ragwortwick-area/src/coordinator.rs
@@ -1,4 +1,4 @@
-//! The coordinator of an area: takes in events, asks for actions.
+//! The coordinator of an area, which processes events and returns actions.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -19,102 +19,102 @@
 use crate::value::total_work;
 use crate::worker::Worker;
 
-/// How long a coordinator that lost the store goes on renewing what runs.
+/// How long a coordinator keeps renewing worker leases after its own lease has ended.
 ///
-/// It covers a store outage of lease plus this; a successor waits as long before it gives up a run
-/// on a worker that it can't reach.
+/// Runs survive a store outage of the lease plus this time. A successor waits for the same time before it
+/// abandons a run on an unreachable worker.
 pub(crate) const RENEWAL_AFTER_LEASE_LOSS_MS: DurationMs = DurationMs(4_000);
 
-/// How old the list of workers may be when work is placed by it.
+/// Maximum age of the worker list for placement.
 ///
-/// A worker that leaves must get no work two seconds after it said so.
-const WORKERS_FRESH_MS: DurationMs = DurationMs(1_300);
+/// A worker must get no new work two seconds after it announced that it leaves.
+const MAX_WORKER_LIST_AGE_MS: DurationMs = DurationMs(1_300);
 
-/// Pause between two passes of placement, so that a burst of events costs one pass.
-const PASS_INTERVAL_MS: DurationMs = DurationMs(8);
+/// Minimum pause between two placement passes, so that a burst of events costs only one.
+const MIN_PASS_PAUSE_MS: DurationMs = DurationMs(8);
 
-/// How many times as long as a pass took the next one is put off, counted from its end.
+/// Pause after a placement pass, as a multiple of the duration of that pass.
 ///
-/// On a busy host a pass takes many times as long as on an idle one. Counted from its beginning, the next
-/// one would be due with the very next event, and answers of workers would wait for a pass each.
+/// On a busy host a pass takes many times as long as on an idle one. If the pause were counted from the start
+/// of the pass, the next one would be due at the next event, and each worker reply would wait for a pass.
 const PAUSE_PER_PASS: u64 = 3;
 
-/// Longest pause between two passes; urgent work has to start within a second or two.
-const MOST_PASS_PAUSE_MS: DurationMs = DurationMs(200);
+/// Maximum pause between two placement passes; urgent work has to start within a second or two.
+const MAX_PASS_PAUSE_MS: DurationMs = DurationMs(200);
 
-/// Pause between two rounds of looks: each goes through all workers, which is too dear for every event.
-const LOOKS_INTERVAL_MS: DurationMs = DurationMs(5);
+/// Minimum interval between poll rounds; a round visits all workers, which is too expensive for every event.
+const POLL_ROUND_INTERVAL_MS: DurationMs = DurationMs(5);
 
-/// How often leases that ran out, orders without an answer and old jobs are looked for.
-const CHORES_MS: DurationMs = DurationMs(40);
+/// Interval of the periodic maintenance: expired leases, unanswered orders and old jobs.
+const MAINTENANCE_INTERVAL_MS: DurationMs = DurationMs(40);
 
-/// Longest sleep while work is under way.
+/// Maximum time between wakeups while work is in progress.
 const TICK_MS: DurationMs = DurationMs(100);
 
-/// `Now` is the present time on the two clocks that decisions need.
+/// `Now` is the current time on the two clocks that decisions depend on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Now {
-    /// A clock that never steps and goes on while the machine is suspended.
+    /// Monotonic clock that includes the time during which the machine is suspended.
     pub steady: TimeMs,
     /// Unix time.
     pub unix: TimeMs,
 }
 
-/// `RecoveredJob` is a job as a new coordinator finds it in the store.
+/// `RecoveredJob` is a job as a new coordinator reads it from the store.
 #[derive(Clone, Debug)]
 pub struct RecoveredJob {
-    /// The job.
+    /// The job as it was accepted.
     pub record: Arc<JobRecord>,
-    /// How far it is, if a coordinator stored that.
+    /// Progress of the job, if a coordinator has stored it.
     pub progress: Option<JobProgress>,
-    /// Whether a caller cancelled it.
+    /// Whether a client cancelled the job.
     pub is_cancelled: bool,
 }
 
-/// `Coordinator` decides what runs where in one area.
+/// `Coordinator` places the runs of one area on its workers.
 #[derive(Debug)]
 pub struct Coordinator {
     pub(crate) limits: Limits,
     pub(crate) desired: Arc<DesiredState>,
     pub(crate) workers: BTreeMap<WorkerName, Worker>,
     pub(crate) jobs: BTreeMap<JobId, JobState>,
-    /// Jobs that are not over, so that a pass doesn't go through all that ever were.
+    /// Jobs that have not ended; a placement pass visits only these.
     pub(crate) open_jobs: BTreeSet<JobId>,
     pub(crate) records: RecordBatches,
     pub(crate) advice: AdvisorState,
     pub(crate) actions: Vec<Action>,
     pub(crate) lease_valid_until: TimeMs,
-    workers_fresh_at: Option<TimeMs>,
+    workers_confirmed_at: Option<TimeMs>,
     pub(crate) needs_pass: bool,
     next_pass_at: TimeMs,
-    /// When the pass began whose end is not known yet.
-    pass_began: Option<TimeMs>,
-    /// Whether something happened since looks were last sent, so that one may be due.
-    wants_looks: bool,
-    /// When looks were last sent.
-    looks_sent_at: TimeMs,
-    /// When the next look is due, if nothing happens before.
+    /// Start of the last placement pass, until its end is recorded.
+    pass_started_at: Option<TimeMs>,
+    /// Whether an event since the last poll round may have made a poll due.
+    needs_poll_round: bool,
+    /// When the last poll round was sent.
+    polls_sent_at: TimeMs,
+    /// When the next poll is due if no event occurs earlier.
     pub(crate) next_poll_at: Option<TimeMs>,
-    /// Whether an order may be due before the next regular look for due ones.
+    /// Whether an order may be due before the next periodic maintenance.
     pub(crate) has_due_orders: bool,
-    next_chores_at: TimeMs,
+    next_maintenance_at: TimeMs,
     pub(crate) next_scheduled_at: Option<TimeMs>,
-    /// Accelerator-seconds and number of the jobs that each queue has brought.
+    /// Accelerator-seconds and number of the jobs submitted to each queue.
     pub(crate) submitted_work: BTreeMap<ClassName, (f64, u32)>,
-    /// Workers on which the last pass kept room.
+    /// Workers on which the last placement pass reserved capacity.
     pub(crate) reserved_workers: BTreeSet<WorkerName>,
     /// Recent peak of urgent demand in each pool.
     pub(crate) urgent_peaks: BTreeMap<PoolName, UrgentDemandPeak>,
-    /// Workers that were lost lately.
+    /// Recently lost workers.
     pub(crate) losses: RecentLosses,
-    /// Steps for which others were stopped, and when that was.
+    /// Steps for which other runs were preempted, with the time of the preemption.
     pub(crate) preempted_for: BTreeMap<StepId, TimeMs>,
 }
 
 impl Coordinator {
-    /// `take_over` begins a term with what the store holds.
+    /// `take_over` begins a term with the state read from the store.
     ///
-    /// Runs that the records place on workers count as running until a look, or time, tells.
+    /// Recorded runs are treated as running until a poll disproves it or their leases have expired.
     #[must_use]
     pub fn take_over(
         now: Now,
@@ -133,15 +133,15 @@
             advice: AdvisorState::default(),
             actions: Vec::new(),
             lease_valid_until: now.steady,
-            workers_fresh_at: Some(now.steady),
+            workers_confirmed_at: Some(now.steady),
             needs_pass: true,
             next_pass_at: TimeMs(0),
-            pass_began: None,
-            wants_looks: true,
-            looks_sent_at: TimeMs(0),
+            pass_started_at: None,
+            needs_poll_round: true,
+            polls_sent_at: TimeMs(0),
             next_poll_at: None,
             has_due_orders: true,
-            next_chores_at: TimeMs(0),
+            next_maintenance_at: TimeMs(0),
             next_scheduled_at: None,
             submitted_work: BTreeMap::new(),
             reserved_workers: BTreeSet::new(),
@@ -161,13 +161,13 @@
         coordinator
     }
 
-    /// `on_event` takes in one event.
+    /// `on_event` processes one event and returns the resulting actions.
     pub fn on_event(&mut self, now: Now, event: Event) -> Vec<Action> {
         match event {
             Event::DesiredState(desired) => self.desired = desired,
-            Event::WorkerUpdated(entry) => self.worker_seen(now.steady, entry),
-            Event::WorkerRemoved(name) => self.worker_gone(&name),
-            Event::WorkersConfirmed => self.workers_fresh_at = Some(now.steady),
+            Event::WorkerUpdated(entry) => self.worker_updated(now.steady, entry),
+            Event::WorkerRemoved(name) => self.worker_removed(&name),
+            Event::WorkersConfirmed => self.workers_confirmed_at = Some(now.steady),
             Event::JobAccepted(record) => self.job_accepted(now, record),
             Event::JobCancelled(job_id) => self.cancel(now.steady, &job_id),
             Event::BatchStored { batch } => self.on_batch_stored(now.steady, batch),
@@ -201,101 +201,103 @@
             Event::LeaseExtended { until } => self.lease_valid_until = until,
         }
         self.needs_pass = true;
-        self.wants_looks = true;
-        self.act(now)
+        self.needs_poll_round = true;
+        self.process_due(now)
     }
 
-    /// `on_wakeup` does what has become due.
+    /// `on_wakeup` processes what has become due and returns the resulting actions.
     pub fn on_wakeup(&mut self, now: Now) -> Vec<Action> {
-        self.act(now)
+        self.process_due(now)
     }
 
-    /// `next_wakeup` tells when something becomes due without an event.
+    /// `next_wakeup` returns when `on_wakeup` must be called if no event occurs earlier.
     #[must_use]
     pub fn next_wakeup(&self, now: Now) -> Option<TimeMs> {
         let is_busy =
             self.records.has_pending() || self.next_poll_at.is_some() || !self.open_jobs.is_empty();
         let tick = is_busy.then(|| now.steady + TICK_MS);
         let pass = self.needs_pass.then_some(self.next_pass_at);
-        let due = self.next_scheduled_at.map(|at| at.max(self.next_pass_at));
-        let look = if self.wants_looks {
-            Some(self.looks_sent_at + LOOKS_INTERVAL_MS)
+        let scheduled = self.next_scheduled_at.map(|at| at.max(self.next_pass_at));
+        let poll = if self.needs_poll_round {
+            Some(self.polls_sent_at + POLL_ROUND_INTERVAL_MS)
         } else {
             self.next_poll_at
         };
-        [tick, pass, due, look].into_iter().flatten().min()
+        [tick, pass, scheduled, poll].into_iter().flatten().min()
     }
 
-    fn act(&mut self, now: Now) -> Vec<Action> {
-        let has_chores = now.steady >= self.next_chores_at;
-        if has_chores {
-            self.next_chores_at = now.steady + CHORES_MS;
-            self.wants_looks = true;
+    fn process_due(&mut self, now: Now) -> Vec<Action> {
+        let is_maintenance_due = now.steady >= self.next_maintenance_at;
+        if is_maintenance_due {
+            self.next_maintenance_at = now.steady + MAINTENANCE_INTERVAL_MS;
+            self.needs_poll_round = true;
             self.expire_leases(now.steady);
             self.attribute_losses(now.steady);
             self.remove_expired_jobs(now.steady);
         }
-        let is_due = self.next_scheduled_at.is_some_and(|at| at <= now.steady);
-        if (self.needs_pass || is_due) && now.steady >= self.next_pass_at {
+        let is_occurrence_due = self.next_scheduled_at.is_some_and(|at| at <= now.steady);
+        if (self.needs_pass || is_occurrence_due) && now.steady >= self.next_pass_at {
             self.needs_pass = false;
-            self.pass_began = Some(now.steady);
-            self.next_pass_at = now.steady + PASS_INTERVAL_MS;
+            self.pass_started_at = Some(now.steady);
+            self.next_pass_at = now.steady + MIN_PASS_PAUSE_MS;
             self.evacuate_draining_workers(now.steady);
             self.run_placement_pass(now);
         }
         self.send_record_batches(now.steady);
-        if has_chores || std::mem::take(&mut self.has_due_orders) {
+        if is_maintenance_due || std::mem::take(&mut self.has_due_orders) {
             self.send_orders(now.steady);
         }
-        let is_look_due = self.wants_looks || self.next_poll_at.is_some_and(|at| at <= now.steady);
-        if is_look_due && now.steady.since(self.looks_sent_at) >= LOOKS_INTERVAL_MS {
-            self.wants_looks = false;
-            self.looks_sent_at = now.steady;
+        let is_poll_due =
+            self.needs_poll_round || self.next_poll_at.is_some_and(|at| at <= now.steady);
+        if is_poll_due && now.steady.since(self.polls_sent_at) >= POLL_ROUND_INTERVAL_MS {
+            self.needs_poll_round = false;
+            self.polls_sent_at = now.steady;
             self.send_polls(now.steady);
         }
         std::mem::take(&mut self.actions)
     }
 
-    /// `record_call_end` tells when the last call was over, so that a long pass leaves time to the events
-    /// that came meanwhile.
+    /// `record_call_end` records when the last `on_event` or `on_wakeup` returned to the event loop.
+    ///
+    /// The pause after a placement pass is counted from this time.
     pub fn record_call_end(&mut self, now: TimeMs) {
-        if let Some(began) = self.pass_began.take() {
-            let pause_ms = DurationMs(now.since(began).0 * PAUSE_PER_PASS)
-                .clamp(PASS_INTERVAL_MS, MOST_PASS_PAUSE_MS);
+        if let Some(started_at) = self.pass_started_at.take() {
+            let pause_ms = DurationMs(now.since(started_at).0 * PAUSE_PER_PASS)
+                .clamp(MIN_PASS_PAUSE_MS, MAX_PASS_PAUSE_MS);
             self.next_pass_at = now + pause_ms;
         }
     }
 
-    /// `open_jobs` counts the jobs that have not come to their end.
+    /// `open_jobs` counts the jobs that have not ended.
     #[must_use]
     pub fn open_jobs(&self) -> usize {
         self.open_jobs.len()
     }
 
-    /// `workers` counts the workers that it knows of.
+    /// `workers` counts the known workers.
     #[must_use]
     pub fn workers(&self) -> usize {
         self.workers.len()
     }
 
-    /// `phase` tells how far a job is, if it is known.
+    /// `phase` returns the phase of a job, if the job is known.
     #[must_use]
     pub fn phase(&self, job_id: &JobId) -> Option<JobPhase> {
         self.jobs.get(job_id).map(|job| job.phase)
     }
 
-    /// `can_start_work` tells whether the term still allows new work to be started.
+    /// Whether the coordinator's lease is valid, so that new work may be started.
     pub(crate) fn can_start_work(&self, now: TimeMs) -> bool {
         now < self.lease_valid_until
     }
 
-    /// Whether the list of workers is new enough to place work by it.
+    /// Whether the worker list is recent enough for placement.
     pub(crate) fn has_fresh_workers(&self, now: TimeMs) -> bool {
-        self.workers_fresh_at
-            .is_some_and(|at| now.since(at) <= WORKERS_FRESH_MS)
+        self.workers_confirmed_at
+            .is_some_and(|at| now.since(at) <= MAX_WORKER_LIST_AGE_MS)
     }
 
-    /// The terms in force for a job: the desired state's, or those of its acceptance.
+    /// Returns the policy of a job's queue: the one in the desired state, or else the one at acceptance.
     pub(crate) fn queue_policy<'a>(&'a self, job: &'a JobState) -> &'a QueuePolicy {
         self.desired
             .queues
@@ -303,7 +305,7 @@
             .map_or(&job.record.policy, |queue| &queue.policy)
     }
 
-    fn worker_seen(&mut self, now: TimeMs, entry: WorkerEntry) {
+    fn worker_updated(&mut self, now: TimeMs, entry: WorkerEntry) {
         if let Some(worker) = self.workers.get_mut(&entry.name) {
             worker.update_entry(now, entry);
         } else {
@@ -312,9 +314,9 @@
         }
     }
 
-    fn worker_gone(&mut self, name: &WorkerName) {
+    fn worker_removed(&mut self, name: &WorkerName) {
         if let Some(worker) = self.workers.get_mut(name) {
-            // Its runs may go on: an entry also vanishes when the worker is cut off from the store.
+            // The runs may continue: the entry also expires when the worker loses contact with the store.
             worker.is_listed = false;
             if worker.can_be_removed() {
                 self.workers.remove(name);
@@ -338,12 +340,12 @@
     }
 
     pub(crate) fn record_work(&mut self, job: &JobState) {
-        let seen = self
+        let submitted = self
             .submitted_work
             .entry(job.record.queue.clone())
             .or_insert((0.0, 0));
-        seen.0 += total_work(job);
-        seen.1 += 1;
+        submitted.0 += total_work(job);
+        submitted.1 += 1;
     }
 
     pub(crate) fn cancel(&mut self, now: TimeMs, job_id: &JobId) {
@@ -357,7 +359,7 @@
         self.end_job(now, job_id);
     }
 
-    /// A job has come to its end: nothing of it is placed any more, and what runs has to stop.
+    /// Ends a job: none of its tasks are placed any more, and its runs are stopped unless it is completed.
     pub(crate) fn end_job(&mut self, now: TimeMs, job_id: &JobId) {
         if let Some(job) = self.jobs.get_mut(job_id) {
             job.ended_at = Some(now);
@@ -373,7 +375,7 @@
     }
 }
 
-/// Unix time on the steady clock, not later than now.
+/// Converts a Unix time to the steady clock; the result is not later than now.
 pub(crate) fn unix_to_steady(now: Now, unix: TimeMs) -> TimeMs {
     now.steady - now.unix.since(unix)
 }
