--- a/ragwortwick-area/src/polls.rs
+++ b/ragwortwick-area/src/polls.rs
@@ -1,4 +1,4 @@
-//! Looks at workers: each renews the lease of what runs there and lists ends.
+//! Polls of workers: each renews the lease of the worker and returns its runs and run ends.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -13,37 +13,37 @@
 use crate::outcome::RunOutcome;
 use crate::worker::PollState;
 
-/// How long a worker may wait for an end before it answers a look.
+/// How long a worker may wait for a run end before it replies to a poll.
 ///
-/// The platform takes at most 2,000 ms, and looks cost their worker something, so it is as long as can be.
-const LOOK_WAIT_MS: DurationMs = DurationMs(2_000);
+/// The platform accepts at most 2,000 ms; polls put load on the worker, so the maximum is used.
+const POLL_WAIT_MS: DurationMs = DurationMs(2_000);
 
-/// The same where fillers may disturb users: what the worker tells covers the last half second.
-const SHARED_LOOK_WAIT_MS: DurationMs = DurationMs(500);
+/// Wait where fillers may affect latency-sensitive tasks: the load in a report covers the last half second.
+const SHARED_POLL_WAIT_MS: DurationMs = DurationMs(500);
 
-/// Least wait where urgent work runs: that it stands still has to show while starting it elsewhere helps.
-const URGENT_LOOK_WAIT_MS: DurationMs = DurationMs(500);
+/// Minimum wait where urgent work runs: a stall has to be detected while a restart elsewhere still helps.
+const URGENT_POLL_WAIT_MS: DurationMs = DurationMs(500);
 
-/// What each worker of the area adds to that: the answers of many workers would else hold up decisions
+/// Additional wait for each worker of the area: the replies of many workers would otherwise delay decisions
 /// on a small host.
-const URGENT_LOOK_MS_PER_WORKER: u64 = 5;
+const URGENT_POLL_MS_PER_WORKER: u64 = 5;
 
-/// Pause between looks at a worker that does not answer.
-const SILENT_LOOK_MS: DurationMs = DurationMs(250);
+/// Pause between polls of an unresponsive worker.
+const UNRESPONSIVE_POLL_MS: DurationMs = DurationMs(250);
 
-/// The same where nothing runs: no lease is at stake, and each look is charged.
-const SILENT_IDLE_LOOK_MS: DurationMs = DurationMs(1_000);
+/// The same for a worker without runs: no lease has to be renewed, and each poll is charged.
+const UNRESPONSIVE_IDLE_POLL_MS: DurationMs = DurationMs(1_000);
 
 impl Coordinator {
-    /// Sends the looks that are due.
+    /// Sends the polls that are due.
     pub(crate) fn send_polls(&mut self, now: TimeMs) {
         self.next_poll_at = None;
         if now >= self.lease_valid_until + RENEWAL_AFTER_LEASE_LOSS_MS {
             return;
         }
         let mut next_poll_at: Option<TimeMs> = None;
-        let urgent_wait_ms = DurationMs(self.workers.len() as u64 * URGENT_LOOK_MS_PER_WORKER)
-            .clamp(URGENT_LOOK_WAIT_MS, LOOK_WAIT_MS);
+        let urgent_wait_ms = DurationMs(self.workers.len() as u64 * URGENT_POLL_MS_PER_WORKER)
+            .clamp(URGENT_POLL_WAIT_MS, POLL_WAIT_MS);
         for (name, worker) in &mut self.workers {
             let PollState::Idle { next_at } = worker.poll else {
                 continue;
@@ -56,10 +56,10 @@
                 next_poll_at = Some(next_poll_at.map_or(due_at, |at| at.min(due_at)));
                 continue;
             }
-            let is_unsure = worker.is_unresponsive()
-                || worker.allocations.values().any(|held| {
+            let needs_reconciliation = worker.is_unresponsive()
+                || worker.allocations.values().any(|allocation| {
                     matches!(
-                        held.phase,
+                        allocation.phase,
                         AllocationPhase::Recovered
                             | AllocationPhase::Stopping {
                                 confirmed_at: Some(_),
@@ -68,17 +68,21 @@
                     )
                 });
             let has_runs = !worker.allocations.is_empty();
-            let wait_ms = if is_unsure || !has_runs {
+            let wait_ms = if needs_reconciliation || !has_runs {
                 DurationMs(0)
             } else if worker.has_colocated_fillers() {
-                SHARED_LOOK_WAIT_MS
-            } else if worker.allocations.values().any(|held| held.priority == 0) {
+                SHARED_POLL_WAIT_MS
+            } else if worker
+                .allocations
+                .values()
+                .any(|allocation| allocation.priority == 0)
+            {
                 urgent_wait_ms
             } else {
-                LOOK_WAIT_MS
+                POLL_WAIT_MS
             };
-            // A lease sent to a silent worker may arrive although no answer does. It would put off,
-            // again and again, the moment from which its runs can be given up.
+            // A lease sent to an unresponsive worker may arrive although no reply does. Repeated leases would
+            // postpone indefinitely the time at which its runs can be abandoned.
             let lease_until_ms = if worker.is_unresponsive() || !has_runs {
                 None
             } else {
@@ -121,9 +125,9 @@
         if let Some(worker) = self.workers.get_mut(worker_name) {
             worker.mark_unresponsive(now, kind);
             let pause_ms = if worker.allocations.is_empty() {
-                SILENT_IDLE_LOOK_MS
+                UNRESPONSIVE_IDLE_POLL_MS
             } else {
-                SILENT_LOOK_MS
+                UNRESPONSIVE_POLL_MS
             };
             worker.poll = PollState::Idle {
                 next_at: now + pause_ms,
@@ -131,7 +135,7 @@
         }
     }
 
-    /// Compares what runs on a worker with what is held there.
+    /// Compares the runs that a worker reported with its allocations.
     pub(crate) fn reconcile_running(
         &mut self,
         now: TimeMs,
@@ -141,44 +145,44 @@
     ) {
         let present: BTreeSet<(&TaskId, u32)> =
             running.iter().map(|row| (&row.task, row.run)).collect();
-        let mut vanished = Vec::new();
+        let mut missing = Vec::new();
         let Some(worker) = self.workers.get_mut(worker_name) else {
             return;
         };
-        for (task, held) in &mut worker.allocations {
-            if present.contains(&(task, held.run)) {
+        for (task, allocation) in &mut worker.allocations {
+            if present.contains(&(task, allocation.run)) {
                 continue;
             }
-            let is_gone = match held.phase {
+            let is_missing = match allocation.phase {
                 AllocationPhase::AwaitingRecord | AllocationPhase::StartSent { .. } => false,
-                // The look carried our token: no order of an earlier coordinator begins any more.
+                // The poll carried a newer fencing token, so the worker refuses earlier coordinators' orders.
                 AllocationPhase::Recovered => true,
                 AllocationPhase::Running { since } => since < sent_at,
                 AllocationPhase::Stopping { confirmed_at, .. } => {
                     confirmed_at.is_some_and(|at| at < sent_at)
                 }
             };
-            if is_gone {
-                vanished.push((task.clone(), held.run));
+            if is_missing {
+                missing.push((task.clone(), allocation.run));
             }
         }
-        let mut orphans = Vec::new();
+        let mut untracked = Vec::new();
         for row in running {
             match worker.allocations.get_mut(&row.task) {
-                Some(held) if held.run == row.run => {
-                    if confirm(now, held, row)
+                Some(allocation) if allocation.run == row.run => {
+                    if confirm(now, allocation, row)
                         && let Some(job) = self.jobs.get_mut(&row.task.job_id)
                     {
                         job.accounting.on_confirmed(now);
                     }
                 }
-                _ => orphans.push(row),
+                _ => untracked.push(row),
             }
         }
         let address = Arc::clone(&worker.entry.address);
         worker.untracked = Resources::default();
-        for row in orphans {
-            // Nobody waits for its end; it only takes room, until it is gone.
+        for row in untracked {
+            // The run belongs to no allocation; it only takes resources until it has stopped.
             let job = self.jobs.get(&row.task.job_id);
             if let Some(spec) = job.and_then(|job| job.spec(row.task.step)) {
                 worker.untracked = worker.untracked.plus(spec.demand());
@@ -190,25 +194,25 @@
                 run: row.run,
             });
         }
-        for (task, run) in vanished {
+        for (task, run) in missing {
             self.end_run(now, worker_name, &task, run, RunOutcome::NoVerdict);
         }
     }
 }
 
-/// A run is seen on its worker; tells whether it was in doubt until now.
-fn confirm(now: TimeMs, held: &mut Allocation, row: &RunningTask) -> bool {
-    held.load = row.load;
+/// Updates an allocation whose run was reported; returns whether the run was unconfirmed before.
+fn confirm(now: TimeMs, allocation: &mut Allocation, row: &RunningTask) -> bool {
+    allocation.load = row.load;
     if !row.checkpoint.is_empty() {
-        held.checkpoint = Arc::clone(&row.checkpoint);
+        allocation.checkpoint = Arc::clone(&row.checkpoint);
     }
-    let was_in_doubt = matches!(
-        held.phase,
+    let was_unconfirmed = matches!(
+        allocation.phase,
         AllocationPhase::Recovered | AllocationPhase::StartSent { .. }
     );
-    if was_in_doubt {
-        held.phase = AllocationPhase::Running { since: now };
-        held.started_at.get_or_insert(now);
+    if was_unconfirmed {
+        allocation.phase = AllocationPhase::Running { since: now };
+        allocation.started_at.get_or_insert(now);
     }
-    was_in_doubt
+    was_unconfirmed
 }
--- a/ragwortwick-area/src/recovery.rs
+++ b/ragwortwick-area/src/recovery.rs
@@ -1,4 +1,4 @@
-//! What a new coordinator takes over: a job as the store has it, and the runs that may be on workers.
+//! Recovery of jobs from the store by a new coordinator, with the runs that may still be on workers.
 
 use std::sync::Arc;
 
@@ -11,24 +11,24 @@
 use crate::worker::{Worker, max_lease_ms};
 
 impl Coordinator {
-    /// Takes over one job; its recorded runs count as running until a look, or time, tells.
-    pub(crate) fn recover_job(&mut self, now: Now, known: RecoveredJob) {
-        let job_id = known.record.job_id.clone();
-        let accepted_at = unix_to_steady(now, known.record.accepted_unix_ms);
-        let mut job = JobState::new(known.record, accepted_at);
-        let mut inherited = Vec::new();
-        if let Some(progress) = &known.progress {
-            inherited = job.restore(now.steady, progress);
+    /// Recovers one job; its recorded runs count as running until a poll or the end of the lease decides.
+    pub(crate) fn recover_job(&mut self, now: Now, recovered: RecoveredJob) {
+        let job_id = recovered.record.job_id.clone();
+        let accepted_at = unix_to_steady(now, recovered.record.accepted_unix_ms);
+        let mut job = JobState::new(recovered.record, accepted_at);
+        let mut recovered_runs = Vec::new();
+        if let Some(progress) = &recovered.progress {
+            recovered_runs = job.restore(now.steady, progress);
         }
         self.record_work(&job);
-        let is_over = job.phase.is_final();
-        for (task, worker_name) in inherited {
+        let is_ended = job.phase.is_final();
+        for (task, worker_name) in recovered_runs {
             let (Some(spec), Some(state)) = (job.spec(task.step), job.task(&task)) else {
                 continue;
             };
             let priority = self.queue_policy(&job).priority;
-            let held = Allocation {
-                phase: if is_over {
+            let allocation = Allocation {
+                phase: if is_ended {
                     AllocationPhase::stop_pending(RunEndReason::JobOver)
                 } else {
                     AllocationPhase::Recovered
@@ -40,19 +40,20 @@
                 confirmed_pace_percent: None,
                 ..Allocation::awaiting_record(now.steady, spec, state.last_run, priority)
             };
-            let bound = now.steady + RENEWAL_AFTER_LEASE_LOSS_MS + max_lease_ms(&self.limits);
+            let lease_expires_by =
+                now.steady + RENEWAL_AFTER_LEASE_LOSS_MS + max_lease_ms(&self.limits);
             let worker = self
                 .workers
                 .entry(worker_name.clone())
                 .or_insert_with(|| Worker::unlisted(now.steady, worker_name));
-            worker.lease_expires_by = bound;
-            worker.allocate(task, held);
+            worker.lease_expires_by = lease_expires_by;
+            worker.allocate(task, allocation);
         }
-        if !is_over {
+        if !is_ended {
             self.open_jobs.insert(job_id.clone());
         }
         self.jobs.insert(job_id.clone(), job);
-        if known.is_cancelled {
+        if recovered.is_cancelled {
             self.cancel(now.steady, &job_id);
         }
     }
--- a/ragwortwick-area/src/run_ends.rs
+++ b/ragwortwick-area/src/run_ends.rs
@@ -1,4 +1,4 @@
-//! How runs come to their end: listed, refused, out of lease, or gone with their worker.
+//! Run ends: reported by the worker, refused, expired with the lease, or lost with the worker.
 
 use std::sync::Arc;
 
@@ -14,37 +14,38 @@
 use crate::outcome::{FollowUp, RunOutcome};
 use crate::worker::PollState;
 
-/// Failed runs in a row, of any jobs, after which a worker is suspected.
+/// Number of consecutive failed runs, of any jobs, after which a worker is suspected of being faulty.
 const SUSPECT_FAILURES: u32 = 2;
 
 /// How long a suspected worker gets no new work.
 const SUSPECT_MS: DurationMs = DurationMs(6_000);
 
-/// Pause before the next look at a worker that had nothing to tell.
-const AFTER_LOOK_MS: DurationMs = DurationMs(5);
+/// Pause before the next poll of a worker that reported no run ends.
+const POLL_PAUSE_MS: DurationMs = DurationMs(5);
 
-/// Workers for each further millisecond of pause after ends.
+/// Number of workers in the area for each further millisecond of pause after run ends.
 const WORKERS_PER_PAUSE_MS: usize = 4;
 
-/// Longest pause after ends: a freed accelerator stands idle for half of it on average.
-const MOST_AFTER_ENDS_MS: u64 = 100;
+/// Maximum pause after run ends: a freed accelerator stays idle for half of it on average.
+const MAX_PAUSE_AFTER_ENDS_MS: u64 = 100;
 
-/// Pause before the next look at a worker that listed ends. Each end is answered at once, so many
-/// small tasks on many workers would cost a look each; a pause takes several ends in one.
-fn after_ends_ms(workers: usize) -> DurationMs {
-    let more_ms = (workers / WORKERS_PER_PAUSE_MS) as u64;
-    DurationMs((AFTER_LOOK_MS.0 + more_ms).min(MOST_AFTER_ENDS_MS))
+/// Pause before the next poll of a worker that reported run ends. A worker replies to a poll at the first
+/// run end, so many small tasks on many workers would cost a poll each; the pause collects several ends in
+/// one poll.
+fn pause_after_ends_ms(workers: usize) -> DurationMs {
+    let extra_ms = (workers / WORKERS_PER_PAUSE_MS) as u64;
+    DurationMs((POLL_PAUSE_MS.0 + extra_ms).min(MAX_PAUSE_AFTER_ENDS_MS))
 }
 
-/// How long a silent worker may take to be heard again before its runs are given up, at least.
+/// Minimum time for which an unresponsive worker may become reachable again before its runs are abandoned.
 ///
-/// Past their lease they don't run any more, but may have come to their end before that. A worker that
-/// was only out of reach lists those ends when it is back: a booking started again meanwhile would be
-/// made twice. A lease alone is over before many a cut is.
-const HEARD_WITHIN_MS: DurationMs = DurationMs(13_100);
+/// After the lease has ended the runs no longer execute, but they may have completed before. A worker that
+/// was only unreachable reports these ends when it is back; if a booking had been restarted meanwhile, it
+/// would be made twice. Many network partitions last longer than a lease.
+const RECONNECT_GRACE_MS: DurationMs = DurationMs(13_100);
 
 impl Coordinator {
-    /// A run is over for good: its room is free, and its job goes on from there.
+    /// Ends a run: frees its resources and applies its outcome to the job.
     pub(crate) fn end_run(
         &mut self,
         now: TimeMs,
@@ -59,33 +60,33 @@
         if worker
             .allocations
             .get(task)
-            .is_none_or(|held| held.run != run)
+            .is_none_or(|allocation| allocation.run != run)
         {
             return;
         }
-        let Some(held) = worker.release(task) else {
+        let Some(allocation) = worker.release(task) else {
             return;
         };
         let why = match outcome {
             RunOutcome::Done => RunEndReason::Done,
             RunOutcome::Failed => RunEndReason::Failed,
-            RunOutcome::NoVerdict | RunOutcome::Lost(_) => match (held.phase, outcome) {
+            RunOutcome::NoVerdict | RunOutcome::Lost(_) => match (allocation.phase, outcome) {
                 (AllocationPhase::Stopping { why, .. }, _) => why,
                 (_, RunOutcome::Lost(loss)) => loss.into(),
                 _ => RunEndReason::NotThere,
             },
         };
-        let vain_ms = match why {
+        let wasted_ms = match why {
             RunEndReason::Done => DurationMs(0),
-            _ => held.wasted_ms(now, self.limits.restore_ms),
+            _ => allocation.wasted_ms(now, self.limits.restore_ms),
         };
-        let lost_core_ms = held.resources.core_equivalents().max(1) * vain_ms.0;
+        let lost_core_ms = allocation.resources.core_equivalents().max(1) * wasted_ms.0;
         self.actions.push(Action::LogRunEnd(RunEnded {
             worker: worker_name.clone(),
             task: task.clone(),
             run,
             why,
-            ran_ms: held.started_at.map(|at| now.since(at)),
+            ran_ms: allocation.started_at.map(|at| now.since(at)),
             lost_core_ms,
         }));
         match outcome {
@@ -99,45 +100,45 @@
             RunOutcome::NoVerdict | RunOutcome::Lost(_) => {}
         }
         if outcome == RunOutcome::Done {
-            self.compare_final_duration(now, worker_name, task, &held);
+            self.compare_final_duration(now, worker_name, task, &allocation);
         }
         let attempts = self.max_attempts(&task.job_id);
         let Some(job) = self.jobs.get_mut(&task.job_id) else {
             return;
         };
-        let settled = job.apply_outcome(task, run, outcome, &held.checkpoint, attempts);
+        let follow_up = job.apply_outcome(task, run, outcome, &allocation.checkpoint, attempts);
         job.last_run_ended_at = now;
         if why != RunEndReason::Done {
-            job.accounting.on_run_lost(why, vain_ms, lost_core_ms);
+            job.accounting.on_run_lost(why, wasted_ms, lost_core_ms);
         }
         if job.is_idle() {
             job.accounting.on_idle(now);
         }
         self.records.mark_dirty(&task.job_id);
         self.needs_pass = true;
-        match settled {
+        match follow_up {
             FollowUp::None => {}
             FollowUp::StopGang => self.stop_with_gang(now, task, RunEndReason::GangEnded),
             FollowUp::EndJob => self.end_job(now, &task.job_id.clone()),
         }
     }
 
-    /// Takes in one end that a worker lists.
-    fn end_listed(&mut self, now: TimeMs, worker_name: &WorkerName, end: &EndedTask) {
+    /// Processes one run end that a worker reported.
+    fn process_run_end(&mut self, now: TimeMs, worker_name: &WorkerName, end: &EndedTask) {
         let Some(worker) = self.workers.get_mut(worker_name) else {
             return;
         };
-        let held = worker.allocations.get_mut(&end.task);
-        let Some(held) = held
-            .filter(|held| held.run == end.run && held.phase != AllocationPhase::AwaitingRecord)
-        else {
+        let allocation = worker.allocations.get_mut(&end.task);
+        let Some(allocation) = allocation.filter(|allocation| {
+            allocation.run == end.run && allocation.phase != AllocationPhase::AwaitingRecord
+        }) else {
             if end.kind == EndKind::Done {
                 self.complete_late(now, &end.task);
             }
             return;
         };
         if !end.checkpoint.is_empty() {
-            held.checkpoint = Arc::clone(&end.checkpoint);
+            allocation.checkpoint = Arc::clone(&end.checkpoint);
         }
         let outcome = match end.kind {
             EndKind::Done => RunOutcome::Done,
@@ -150,7 +151,7 @@
         self.end_run(now, worker_name, &end.task, end.run, outcome);
     }
 
-    /// Takes in an end that an earlier coordinator heard: final, whatever became of its worker.
+    /// Processes a completion that an earlier coordinator received; it is final even if the worker is lost.
     pub(crate) fn on_completion_handed_over(&mut self, now: TimeMs, task: &TaskId, run: u32) {
         let job = self.jobs.get(&task.job_id);
         let state = job.and_then(|job| job.task(task));
@@ -161,7 +162,7 @@
         self.end_run(now, &worker, task, run, RunOutcome::Done);
     }
 
-    /// A worker's address answers as another life: nothing of the earlier one runs any more.
+    /// Handles a reply of another incarnation at a worker's address: the runs of the earlier one are gone.
     pub(crate) fn on_incarnation_ended(&mut self, now: TimeMs, worker_name: &WorkerName) {
         if let Some(worker) = self.workers.get_mut(worker_name) {
             worker.is_listed = false;
@@ -171,22 +172,23 @@
         self.lose_worker(now, worker_name, WorkerLossCause::Crashed);
     }
 
-    /// Gives up runs on silent workers whose lease must have run out by now.
+    /// Abandons the runs on unresponsive workers whose leases must have ended.
     ///
-    /// Every order carries the end of the lease on the worker's clock, and a silent worker gets no
-    /// further lease, so past the bound everything there was killed, also what arrives late.
+    /// Every order carries the end of the lease on the worker's clock, and an unresponsive worker gets no
+    /// further lease. After the upper bound all runs there have been killed, including those of orders that
+    /// arrived late.
     pub(crate) fn expire_leases(&mut self, now: TimeMs) {
         let expired: Vec<WorkerName> = self
             .workers
             .iter()
             .filter(|(_, worker)| {
                 let is_unresponsive = worker.is_unresponsive() || worker.entry.address.is_empty();
-                // The two times run side by side: a new coordinator's bound on leases is long, and callers
-                // would wait for a worker that has left for as long again.
-                let given_up_at = worker
+                // Both times run in parallel: a new coordinator's bound on leases is long, and clients would
+                // otherwise wait for a departed worker about twice as long.
+                let abandoned_at = worker
                     .lease_expires_by
-                    .max(worker.lease_sent_at + HEARD_WITHIN_MS);
-                is_unresponsive && !worker.allocations.is_empty() && now >= given_up_at
+                    .max(worker.lease_sent_at + RECONNECT_GRACE_MS);
+                is_unresponsive && !worker.allocations.is_empty() && now >= abandoned_at
             })
             .map(|(name, _)| name.clone())
             .collect();
@@ -195,47 +197,47 @@
         }
     }
 
-    /// Takes in a look: what runs, what ended, and what is no longer there.
+    /// Processes the reply to a poll: run ends, runs in progress, and runs that no longer exist.
     pub(crate) fn on_poll_reply(
         &mut self,
         now: TimeMs,
         worker_name: &WorkerName,
         sent_at: TimeMs,
-        look: &WorkerReport,
+        report: &WorkerReport,
     ) {
-        let after_ends_ms = after_ends_ms(self.workers.len());
+        let pause_after_ends_ms = pause_after_ends_ms(self.workers.len());
         let Some(worker) = self.workers.get_mut(worker_name) else {
             return;
         };
-        worker.record_clock(now, look.clock_ms);
+        worker.record_clock(now, report.clock_ms);
         worker.contact_loss = None;
-        let pause_ms = if look.ended.is_empty() {
-            AFTER_LOOK_MS
+        let pause_ms = if report.ended.is_empty() {
+            POLL_PAUSE_MS
         } else {
-            after_ends_ms
+            pause_after_ends_ms
         };
         worker.poll = PollState::Idle {
             next_at: now + pause_ms,
         };
-        let mut highest = worker.received_end;
-        let new_ends: Vec<_> = look
+        let mut last_sequence = worker.received_end;
+        let new_ends: Vec<_> = report
             .ended
             .iter()
             .filter(|end| end.sequence > worker.received_end)
             .collect();
         let has_ends = !new_ends.is_empty();
         for end in &new_ends {
-            highest = highest.max(end.sequence);
+            last_sequence = last_sequence.max(end.sequence);
         }
-        worker.received_end = highest;
+        worker.received_end = last_sequence;
         if has_ends {
-            self.records.ack_end_when_stored(worker_name, highest);
+            self.records.ack_end_when_stored(worker_name, last_sequence);
         }
         for end in new_ends {
-            self.end_listed(now, worker_name, end);
+            self.process_run_end(now, worker_name, end);
         }
-        self.reconcile_running(now, worker_name, sent_at, &look.running);
-        self.check_progress(now, worker_name, look);
+        self.reconcile_running(now, worker_name, sent_at, &report.running);
+        self.check_progress(now, worker_name, report);
         self.pace_fillers(now, worker_name);
     }
 }
--- a/ragwortwick-area/src/starts.rs
+++ b/ragwortwick-area/src/starts.rs
@@ -1,4 +1,4 @@
-//! Starts, and orders that are sent again until their outcome is known.
+//! Start orders, and the retry of orders until their result is known.
 
 use std::sync::Arc;
 
@@ -13,11 +13,11 @@
 use crate::progress_tracker::ProgressTracker;
 use crate::worker::Worker;
 
-/// Pause before an order without an answer is sent again.
+/// Pause before an order without a reply is sent again.
 const RESEND_MS: DurationMs = DurationMs(150);
 
 impl Coordinator {
-    /// Sends the start of a run whose record is stored, unless it has become pointless.
+    /// Sends the start order of a run whose record is stored, unless the run can no longer start there.
     pub(crate) fn send_recorded_start(
         &mut self,
         now: TimeMs,
@@ -30,21 +30,20 @@
         let Some(worker) = self.workers.get_mut(worker_name) else {
             return;
         };
-        let has_room = worker.overcommitted().is_zero();
-        let is_schedulable =
-            worker.is_listed && !worker.entry.is_draining && has_ticket && has_room;
-        let Some(held) = worker.allocations.get_mut(task) else {
+        let has_capacity = worker.overcommitted().is_zero();
+        let can_run = worker.is_listed && !worker.entry.is_draining && has_ticket && has_capacity;
+        let Some(allocation) = worker.allocations.get_mut(task) else {
             return;
         };
-        if held.run != run || held.phase != AllocationPhase::AwaitingRecord {
+        if allocation.run != run || allocation.phase != AllocationPhase::AwaitingRecord {
             return;
         }
-        if !is_schedulable || !can_start_work {
-            // Nothing was sent, so the run certainly never begins.
+        if !can_run || !can_start_work {
+            // No order was sent, so the run never starts.
             self.end_run(now, worker_name, task, run, RunOutcome::NoVerdict);
             return;
         }
-        held.phase = AllocationPhase::StartSent {
+        allocation.phase = AllocationPhase::StartSent {
             sent_at: now,
             in_flight: false,
         };
@@ -71,11 +70,11 @@
         };
         worker.record_lease_sent(now, &self.limits);
         let address = Arc::clone(&worker.entry.address);
-        let Some(held) = worker.allocations.get_mut(task) else {
+        let Some(allocation) = worker.allocations.get_mut(task) else {
             return;
         };
-        held.start_attempts += 1;
-        held.phase = AllocationPhase::StartSent {
+        allocation.start_attempts += 1;
+        allocation.phase = AllocationPhase::StartSent {
             sent_at: now,
             in_flight: true,
         };
@@ -83,7 +82,7 @@
             worker: worker_name.clone(),
             address,
             task: task.clone(),
-            run: held.run,
+            run: allocation.run,
             payload,
             checkpoint,
             lease_until_ms,
@@ -91,14 +90,14 @@
         });
     }
 
-    /// Sends again what got no answer, and the stops that are due.
+    /// Sends the stop orders that are due and repeats the orders without a reply.
     pub(crate) fn send_orders(&mut self, now: TimeMs) {
         let can_start_work = self.can_start_work(now);
         let mut starts = Vec::new();
         let mut stops = Vec::new();
         for (name, worker) in &self.workers {
-            for (task, held) in &worker.allocations {
-                match held.phase {
+            for (task, allocation) in &worker.allocations {
+                match allocation.phase {
                     AllocationPhase::StartSent {
                         sent_at,
                         in_flight: false,
@@ -127,24 +126,24 @@
         }
     }
 
-    /// Repeats a start: it is idempotent, and tells whether the first one arrived.
+    /// Repeats a start order, which is idempotent; the reply shows whether the first one arrived.
     ///
-    /// A worker that leaves or has shrunk must not be told again to start something: if the first order
-    /// never arrived, the second would begin work there. A stop settles it as well, also where the
-    /// ticket has run out and the repeat would be refused.
+    /// The order must not be repeated to a worker that leaves or has shrunk: if the first one never
+    /// arrived, the second would start work there. A stop order resolves the uncertainty as well, and also
+    /// does so where the ticket has expired and the repeated start would be refused.
     fn resend_start(&mut self, now: TimeMs, worker: &WorkerName, task: &TaskId) {
-        let must_not_begin = self.workers.get(worker).is_some_and(|worker| {
+        let must_not_start = self.workers.get(worker).is_some_and(|worker| {
             let is_leaving = worker.entry.is_draining || !worker.is_listed;
             is_leaving || !worker.overcommitted().is_zero()
         });
-        if must_not_begin || self.ticket_for(now, worker, task).is_err() {
+        if must_not_start || self.ticket_for(now, worker, task).is_err() {
             self.stop_with_gang(now, task, RunEndReason::StartInDoubt);
         } else {
             self.send_start(now, worker, task);
         }
     }
 
-    /// Hears what the answer to an order tells of its worker; none if the worker's life is over.
+    /// Updates a worker from the reply to an order; returns none if its incarnation has ended.
     pub(crate) fn record_reply(
         &mut self,
         now: TimeMs,
@@ -176,22 +175,22 @@
         if matches!(reply, OrderReply::Accepted { .. }) {
             worker.contact_loss = None;
         }
-        let Some(held) = worker.allocations.get_mut(task) else {
+        let Some(allocation) = worker.allocations.get_mut(task) else {
             return;
         };
-        let AllocationPhase::StartSent { sent_at, .. } = held.phase else {
+        let AllocationPhase::StartSent { sent_at, .. } = allocation.phase else {
             return;
         };
-        if held.run != run {
+        if allocation.run != run {
             return;
         }
         match reply {
             OrderReply::Accepted { clock_ms } => {
-                if !held.is_resumed {
-                    held.tracker = Some(ProgressTracker::new(clock_ms, 0));
+                if !allocation.is_resumed {
+                    allocation.tracker = Some(ProgressTracker::new(clock_ms, 0));
                 }
-                held.phase = AllocationPhase::Running { since: now };
-                held.started_at = Some(now);
+                allocation.phase = AllocationPhase::Running { since: now };
+                allocation.started_at = Some(now);
                 worker.poll_by(now);
                 if let Some(job) = self.jobs.get_mut(&task.job_id) {
                     job.accounting.on_confirmed(now);
@@ -200,33 +199,33 @@
                 self.pace_fillers(now, worker_name);
             }
             OrderReply::Unknown => {
-                held.phase = AllocationPhase::StartSent {
+                allocation.phase = AllocationPhase::StartSent {
                     sent_at,
                     in_flight: false,
                 };
             }
             OrderReply::Refused(RefusalCause::Fenced) => self.actions.push(Action::Resign),
-            // It was there and ended, or was stopped: the next look lists the end.
+            // The run existed and ended or was stopped; the next poll returns its end.
             OrderReply::Refused(RefusalCause::StaleRun) => {
-                held.phase = AllocationPhase::Running { since: now };
+                allocation.phase = AllocationPhase::Running { since: now };
             }
             OrderReply::Refused(cause) => {
-                let is_first_try = held.start_attempts <= 1;
+                let is_first_attempt = allocation.start_attempts <= 1;
                 if cause == RefusalCause::NoRoom || cause == RefusalCause::Unhealthy {
                     worker.avoid_until = now + AVOID_AFTER_REFUSAL_MS;
                 }
-                let is_refused_as_is =
+                let is_order_rejected =
                     matches!(cause, RefusalCause::Invalid | RefusalCause::LeaseOver);
-                if is_refused_as_is && let Some(job) = self.jobs.get_mut(&task.job_id) {
+                if is_order_rejected && let Some(job) = self.jobs.get_mut(&task.job_id) {
                     job.backoff.on_refused(now);
                 }
                 if cause == RefusalCause::NoTicket {
                     self.advice.discard_ticket(worker_name, task);
                 }
-                if is_first_try {
+                if is_first_attempt {
                     self.end_run(now, worker_name, task, run, RunOutcome::NoVerdict);
                 } else {
-                    // An earlier try may still be carried out late; a stop rules that out.
+                    // An earlier start order may still be executed late; a stop order rules that out.
                     self.stop_with_gang(now, task, RunEndReason::StartInDoubt);
                 }
             }
@@ -234,7 +233,7 @@
         }
     }
 
-    /// Puts a run on a worker; its start is sent once the record of it is stored.
+    /// Allocates resources of a worker to a run; its start order is sent once the run is recorded.
     pub(crate) fn place_run(
         &mut self,
         now: TimeMs,
@@ -250,7 +249,7 @@
             return;
         };
         let state = job.task(task);
-        let held = Allocation {
+        let allocation = Allocation {
             is_resumed: state.is_some_and(|state| !state.checkpoint.is_empty()),
             crash_history: state.map(|state| state.crash_history).unwrap_or_default(),
             ..Allocation::awaiting_record(now, spec, run, priority)
@@ -259,7 +258,7 @@
         job.accounting.on_placed(now);
         self.records.start_when_stored(worker_name, task, run);
         if let Some(worker) = self.workers.get_mut(worker_name) {
-            worker.allocate(task.clone(), held);
+            worker.allocate(task.clone(), allocation);
         }
     }
 
@@ -270,7 +269,7 @@
                 worker
                     .allocations
                     .iter()
-                    .map(|(task, held)| (task.clone(), held.run))
+                    .map(|(task, allocation)| (task.clone(), allocation.run))
                     .collect()
             })
             .unwrap_or_default()
@@ -283,7 +282,7 @@
     }
 }
 
-/// How long a worker that refused work for want of room or health gets none.
+/// How long a worker gets no new work after it refused a start for lack of capacity or health.
 ///
-/// A refusal contradicts our ledger; the next entry of the worker or a look may explain it.
+/// A refusal contradicts the state known here; the next entry of the worker or the next poll may correct it.
 const AVOID_AFTER_REFUSAL_MS: DurationMs = DurationMs(1_000);
--- a/ragwortwick-area/src/stops.rs
+++ b/ragwortwick-area/src/stops.rs
@@ -1,4 +1,4 @@
-//! Stops: of one run, of a gang, or of all that match.
+//! Stop orders for a run, for a gang, or for all runs that match a condition.
 
 use std::sync::Arc;
 
@@ -11,8 +11,8 @@
 use crate::messages::{Action, OrderReply, RefusalCause};
 use crate::outcome::RunOutcome;
 
-/// Pause before a stop that was confirmed, but whose end was never listed, is looked after.
-const STOP_LISTED_MS: DurationMs = DurationMs(150);
+/// Delay of the poll after a confirmed stop, which determines whether the run has gone.
+const POLL_AFTER_STOP_MS: DurationMs = DurationMs(150);
 
 impl Coordinator {
     pub(crate) fn send_stop(&mut self, now: TimeMs, worker_name: &WorkerName, task: &TaskId) {
@@ -20,7 +20,7 @@
             return;
         };
         let address = Arc::clone(&worker.entry.address);
-        let Some(held) = worker.allocations.get_mut(task) else {
+        let Some(allocation) = worker.allocations.get_mut(task) else {
             return;
         };
         let AllocationPhase::Stopping {
@@ -28,7 +28,7 @@
             in_flight,
             confirmed_at,
             ..
-        } = &mut held.phase
+        } = &mut allocation.phase
         else {
             return;
         };
@@ -39,7 +39,7 @@
             worker: worker_name.clone(),
             address,
             task: task.clone(),
-            run: held.run,
+            run: allocation.run,
         });
     }
 
@@ -58,28 +58,28 @@
         let Some(worker) = self.record_reply(now, worker_name, reply) else {
             return;
         };
-        let Some(held) = worker.allocations.get_mut(task) else {
+        let Some(allocation) = worker.allocations.get_mut(task) else {
             return;
         };
-        if held.run != run {
+        if allocation.run != run {
             return;
         }
         let AllocationPhase::Stopping {
             in_flight,
             confirmed_at,
             ..
-        } = &mut held.phase
+        } = &mut allocation.phase
         else {
             return;
         };
-        // A worker that refuses the stop as stale has nothing of that run any more.
-        let is_settled = !matches!(reply, OrderReply::Unknown);
+        // A worker that refuses the stop as stale no longer has the run.
+        let is_confirmed = !matches!(reply, OrderReply::Unknown);
         *in_flight = false;
-        *confirmed_at = is_settled.then_some(now);
-        worker.poll_by(now + STOP_LISTED_MS);
+        *confirmed_at = is_confirmed.then_some(now);
+        worker.poll_by(now + POLL_AFTER_STOP_MS);
     }
 
-    /// Tells all runs that match to stop, on every worker.
+    /// Stops all matching runs on every worker.
     pub(crate) fn stop_matching(
         &mut self,
         now: TimeMs,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Tells the runs on one worker that match to stop.
+    /// Stops the matching runs on one worker.
     pub(crate) fn stop_matching_on(
         &mut self,
         now: TimeMs,
@@ -109,22 +109,22 @@
             return;
         };
         self.has_due_orders = true;
-        let mut never_sent = Vec::new();
-        for (task, held) in &mut worker.allocations {
-            if held.is_stopping() || !matches(task) {
+        let mut unsent = Vec::new();
+        for (task, allocation) in &mut worker.allocations {
+            if allocation.is_stopping() || !matches(task) {
                 continue;
             }
-            if held.phase == AllocationPhase::AwaitingRecord {
-                never_sent.push((task.clone(), held.run));
+            if allocation.phase == AllocationPhase::AwaitingRecord {
+                unsent.push((task.clone(), allocation.run));
             }
-            held.phase = AllocationPhase::stop_pending(why);
+            allocation.phase = AllocationPhase::stop_pending(why);
         }
-        for (task, run) in never_sent {
+        for (task, run) in unsent {
             self.end_run(now, name, &task, run, RunOutcome::NoVerdict);
         }
     }
 
-    /// Stops a task, and with it the whole gang that it is a member of.
+    /// Stops the run of a task; if the task belongs to a gang, stops the whole gang.
     pub(crate) fn stop_with_gang(&mut self, now: TimeMs, task: &TaskId, why: RunEndReason) {
         let is_gang = self
             .jobs
--- a/ragwortwick-area/src/worker.rs
+++ b/ragwortwick-area/src/worker.rs
@@ -1,4 +1,4 @@
-//! The ledger of one worker: what is or may be running there, and until when.
+//! State of one worker: its allocations, the bounds of its lease, its polls and its health.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,61 +15,62 @@
 /// Margin on the computed end of a worker's lease, for timers and scheduling delays.
 const LEASE_MARGIN_MS: DurationMs = DurationMs(400);
 
-/// Pause between looks at a worker whose ends can't be stored; it answers each at once with them.
+/// Pause between polls of a worker whose run ends can't be stored; it replies to each poll at once with them.
 ///
-/// During an outage of the store what else runs there still needs its lease renewed.
-const AWAIT_STORE_MS: DurationMs = DurationMs(1_000);
+/// During an outage of the store the other runs on the worker still need their lease renewed.
+const UNSTORED_ENDS_POLL_MS: DurationMs = DurationMs(1_000);
 
-/// A worker's clock may run 2 % slow; 3 % covers that with rounding.
+/// A worker's clock may run 2 % slow; 3 % covers that and rounding.
 const CLOCK_DRIFT_PERCENT: u64 = 3;
 
-/// `PollState` tells whether a look is under way.
+/// `PollState` is whether a poll is in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PollState {
-    /// None is under way; the next is due then.
+    /// No poll is in flight; the next one is due at the given time.
     Idle { next_at: TimeMs },
-    /// One was sent then.
+    /// A poll was sent and has not been replied to.
     InFlight,
 }
 
-/// `Worker` is one life of a worker.
+/// `Worker` is one incarnation of a worker.
 #[derive(Clone, Debug)]
 pub(crate) struct Worker {
     pub(crate) entry: WorkerEntry,
-    /// Whether the store lists it.
+    /// Whether the store has an entry of the worker.
     pub(crate) is_listed: bool,
-    /// When it must have left, for a draining worker that told its remaining time.
+    /// When a draining worker leaves at the earliest, if it reported its remaining time.
     pub(crate) leaves_at: Option<TimeMs>,
     pub(crate) allocations: BTreeMap<TaskId, Allocation>,
+    /// Resources of all allocations.
     used: Resources,
-    /// What runs that nobody waits for took when the worker was last looked at.
+    /// Resources of untracked runs as of the last report.
     pub(crate) untracked: Resources,
-    /// The worker's clock, as last told, and when that was.
+    /// The worker's clock as last reported, and when the report arrived.
     clock: Option<(u64, TimeMs)>,
-    /// No lease that was ever granted there lasts longer.
+    /// Upper bound of the end of every lease granted to the worker.
     pub(crate) lease_expires_by: TimeMs,
-    /// When this coordinator sent a lease there last, or took the worker over.
+    /// When this coordinator last sent a lease to the worker, or first learned of the worker.
     pub(crate) lease_sent_at: TimeMs,
     pub(crate) poll: PollState,
-    /// Since when looks fail; none if the last one was answered.
+    /// Since when polls fail; none if the last poll succeeded.
     pub(crate) contact_loss: Option<ContactLoss>,
-    /// Highest number of an end that was taken in.
+    /// Highest sequence number of a run end that was processed.
     pub(crate) received_end: u64,
-    /// Highest number of an end whose effect is stored.
+    /// Highest sequence number of a run end whose effect is stored.
     pub(crate) stored_end: u64,
-    /// Highest number that the worker was told to forget.
+    /// Highest sequence number that was acknowledged to the worker.
     pub(crate) acked_end: u64,
-    /// Failed runs of different jobs since the last run that ended well.
+    /// Failed runs of any jobs since the last run that completed.
     pub(crate) consecutive_failures: u32,
-    /// No new work goes there before.
+    /// No new work is placed on the worker before this time.
     pub(crate) avoid_until: TimeMs,
-    /// Its runs hardly moved on when last seen: no new work goes there before.
+    /// No new work is placed on the worker before this time, because its runs were stalled.
     pub(crate) stalled_until: TimeMs,
-    /// How fast it is against others.
+    /// Speed of the worker relative to others.
     pub(crate) speed: SpeedEstimate,
-    /// Pace of the fillers here.
+    /// Pace of the fillers on the worker.
     pub(crate) filler_pace_percent: u32,
-    /// When that changed last; none while nothing serves here.
+    /// When the pace last changed; none while the worker has no latency-sensitive task.
     pub(crate) pace_changed_at: Option<TimeMs>,
 }
 
@@ -101,7 +102,7 @@
         worker
     }
 
-    /// A worker of which only its name in a record is known.
+    /// A worker of which only the name in a job record is known.
     pub(crate) fn unlisted(now: TimeMs, name: WorkerName) -> Self {
         let entry = WorkerEntry {
             name,
@@ -134,77 +135,77 @@
         self.entry = entry;
     }
 
-    /// The clock told in an answer; an answer travels, so the true clock is this or later.
+    /// Records the clock in a reply; because of the network delay the true clock is this value or later.
     pub(crate) fn record_clock(&mut self, now: TimeMs, clock_ms: u64) {
         self.clock = Some((clock_ms, now));
     }
 
-    /// When it answered last; when it became known before any answer.
+    /// When the worker last reported its clock; until then, the last lease or when it became known.
     pub(crate) fn last_reply_at(&self) -> TimeMs {
         self.clock
-            .map_or(self.lease_sent_at, |(_, heard_at)| heard_at)
+            .map_or(self.lease_sent_at, |(_, reported_at)| reported_at)
     }
 
-    /// Whether the last look failed.
+    /// Whether the last poll failed.
     pub(crate) fn is_unresponsive(&self) -> bool {
         self.contact_loss.is_some()
     }
 
-    /// Notes that a look failed; the silence goes on since the first.
+    /// Records a failed poll; the contact loss dates from the first failure.
     pub(crate) fn mark_unresponsive(&mut self, now: TimeMs, kind: ContactLossKind) {
         self.contact_loss
             .get_or_insert(ContactLoss { since: now, kind });
     }
 
-    /// What its clock shows now, as far as it was told.
+    /// Lower bound of the worker's current clock, if the clock is known.
     pub(crate) fn clock_at(&self, now: TimeMs) -> Option<u64> {
-        let (clock_ms, heard_at) = self.clock?;
-        Some(clock_ms + now.since(heard_at).0)
+        let (clock_ms, reported_at) = self.clock?;
+        Some(clock_ms + now.since(reported_at).0)
     }
 
-    /// The end of a lease from now on, on the worker's clock; an estimate that is never too late.
+    /// The end of a lease granted now, on the worker's clock; the estimate is never too late.
     pub(crate) fn lease_until(&self, now: TimeMs, limits: &Limits) -> Option<u64> {
         Some(self.clock_at(now)? + limits.lease_ms.0)
     }
 
-    /// Notes that an order with a lease goes out: until the bound passes, runs may live on.
+    /// Records that a lease is sent; runs may continue until the upper bound of its end.
     pub(crate) fn record_lease_sent(&mut self, now: TimeMs, limits: &Limits) {
         self.lease_sent_at = now;
         self.lease_expires_by = self.lease_expires_by.max(now + max_lease_ms(limits));
     }
 
-    /// Brings the next look forward, unless one is under way.
+    /// Moves the next poll to the given time at the latest, unless a poll is in flight.
     pub(crate) fn poll_by(&mut self, at: TimeMs) {
         if let PollState::Idle { next_at } = &mut self.poll {
             *next_at = at.min(*next_at);
         }
     }
 
-    pub(crate) fn allocate(&mut self, task: TaskId, held: Allocation) {
-        self.used = self.used.plus(held.resources);
-        self.allocations.insert(task, held);
+    pub(crate) fn allocate(&mut self, task: TaskId, allocation: Allocation) {
+        self.used = self.used.plus(allocation.resources);
+        self.allocations.insert(task, allocation);
     }
 
     pub(crate) fn release(&mut self, task: &TaskId) -> Option<Allocation> {
-        let held = self.allocations.remove(task)?;
-        self.used = self.used.saturating_sub(held.resources);
-        Some(held)
+        let allocation = self.allocations.remove(task)?;
+        self.used = self.used.saturating_sub(allocation.resources);
+        Some(allocation)
     }
 
     pub(crate) fn free(&self) -> Resources {
-        self.entry.capacity.saturating_sub(self.taken())
+        self.entry.capacity.saturating_sub(self.allocated())
     }
 
-    fn taken(&self) -> Resources {
+    fn allocated(&self) -> Resources {
         self.used.plus(self.untracked)
     }
 
-    /// What is held beyond the capacity, which may have shrunk since; what is stopping counts.
+    /// Resources allocated beyond the capacity, which may have shrunk; stopping runs are included.
     pub(crate) fn overcommitted(&self) -> Resources {
-        self.taken().saturating_sub(self.entry.capacity)
+        self.allocated().saturating_sub(self.entry.capacity)
     }
 
-    /// Whether new work may go there.
+    /// Whether new work may be placed on the worker.
     pub(crate) fn is_schedulable(&self, now: TimeMs) -> bool {
         self.is_listed
             && !self.entry.is_draining
@@ -215,29 +216,30 @@
             && !self.is_isolating_suspect(now)
     }
 
-    /// Whether a look is wanted: something runs, also for nobody, ends have to be forgotten, or it is not known whether
-    /// a listed worker is back in reach. Silence ends with a look alone, and a silent worker gets no
-    /// work: after a cut that outlasted all leases no worker would ever get any.
+    /// Whether a poll is needed: for tracked or untracked runs, to acknowledge run ends, or to find out
+    /// whether a listed worker is reachable again. Only a successful poll ends a contact loss, and an
+    /// unresponsive worker gets no work: after a partition longer than all leases no worker would ever get
+    /// work again.
     pub(crate) fn needs_poll(&self) -> bool {
         let has_run = self
             .allocations
             .values()
-            .any(|held| !matches!(held.phase, AllocationPhase::AwaitingRecord));
+            .any(|allocation| !matches!(allocation.phase, AllocationPhase::AwaitingRecord));
         has_run
             || !self.untracked.is_zero()
             || self.stored_end > self.acked_end
             || (self.is_unresponsive() && self.is_listed)
     }
 
-    /// Ends that are taken in but not stored would be listed again at once; a look waits for them.
+    /// Whether run ends were processed but are not stored; a poll would return the same ends again at once.
     pub(crate) fn has_unstored_ends(&self) -> bool {
         self.received_end > self.stored_end
     }
 
-    /// When the next look is due: later while ends wait to be stored, but in time for the lease.
+    /// When the next poll is due: later while run ends are being stored, but in time to renew the lease.
     pub(crate) fn poll_due_at(&self, next_at: TimeMs) -> TimeMs {
         if self.has_unstored_ends() {
-            next_at + AWAIT_STORE_MS
+            next_at + UNSTORED_ENDS_POLL_MS
         } else {
             next_at
         }
@@ -248,7 +250,7 @@
     }
 }
 
-/// The longest time that a lease sent now can last on our clock.
+/// Maximum time on the coordinator's clock until a lease sent now has ended.
 pub(crate) fn max_lease_ms(limits: &Limits) -> DurationMs {
     DurationMs(limits.lease_ms.0 * (100 + CLOCK_DRIFT_PERCENT) / 100 + LEASE_MARGIN_MS.0)
 }
