--- a/ragwortwick-area/tests/late_ends.rs
+++ b/ragwortwick-area/tests/late_ends.rs
@@ -1,4 +1,4 @@
-//! Ends that a worker lists after its runs were given up.
+//! Completions that a worker reports after its runs were abandoned.
 
 mod rig;
 
@@ -8,19 +8,21 @@
 
 const ID: &str = "00000000000000b7";
 
-/// A run that its coordinator gave up for want of any answer.
-struct GivenUp {
+/// Runs that the coordinator abandoned because their worker was unresponsive.
+struct AbandonedRuns {
     rig: Rig,
     starts: Vec<(WorkerName, TaskId, u32)>,
 }
 
-impl GivenUp {
-    /// Lets all workers but the last be out of reach until their runs are given up.
-    fn play(workers: &[&str], spec: StepSpec) -> Self {
-        Self::play_steps(workers, vec![spec])
+impl AbandonedRuns {
+    /// Starts the tasks of a step on the first worker and lets it be unresponsive until its runs are
+    /// abandoned.
+    fn new(workers: &[&str], spec: StepSpec) -> Self {
+        Self::with_steps(workers, vec![spec])
     }
 
-    fn play_steps(workers: &[&str], steps: Vec<StepSpec>) -> Self {
+    /// The same for a job of several steps; the other workers join afterwards.
+    fn with_steps(workers: &[&str], steps: Vec<StepSpec>) -> Self {
         let entries: Vec<_> = workers.iter().map(|name| worker(name, "r1")).collect();
         let mut rig = Rig::new(&entries[..1]);
         rig.send(Event::JobAccepted(job(ID, "middle", steps)));
@@ -37,8 +39,8 @@
         Self { rig, starts }
     }
 
-    /// The first worker is back in reach, and lists that its runs had done their work.
-    fn list_ends(&mut self) {
+    /// The first worker is reachable again and reports that its runs had completed.
+    fn report_completions(&mut self) {
         let ends = (1..).zip(&self.starts);
         let ends = ends.map(|(number, start)| ended(number, start, EndKind::Done));
         let ends = ends.collect();
@@ -50,80 +52,80 @@
     }
 }
 
-/// A task that waits again has done its work on a worker that was out of reach: it must not be done twice.
+/// A waiting task had completed on an unreachable worker and must not be executed twice.
 #[test]
 fn verify_an_end_that_is_listed_late_counts_while_its_task_waits() {
     for spec in [step(2, 4), gang(2, 4)] {
-        let mut play = GivenUp::play(&["w1"], spec);
-        play.list_ends();
-        play.rig.advance(100);
-        play.rig.store_batches();
-        assert_eq!(play.rig.starts(), vec![]);
-        assert_eq!(play.phase(), Some(JobPhase::Completed));
+        let mut scenario = AbandonedRuns::new(&["w1"], spec);
+        scenario.report_completions();
+        scenario.rig.advance(100);
+        scenario.rig.store_batches();
+        assert_eq!(scenario.rig.starts(), vec![]);
+        assert_eq!(scenario.phase(), Some(JobPhase::Completed));
     }
 }
 
-/// A start that waits for its record is withdrawn when the end of an earlier run is listed.
+/// A start that waits for its record is cancelled when the completion of an earlier run is reported.
 #[test]
 fn verify_an_end_that_is_listed_late_withdraws_a_start_that_was_not_sent() {
     for spec in [step(2, 4), gang(2, 4)] {
-        let mut play = GivenUp::play(&["w1", "w2"], spec);
-        play.list_ends();
-        play.rig.store_batches();
-        play.rig.advance(100);
-        play.rig.store_batches();
-        assert_eq!(play.rig.starts(), vec![]);
-        assert_eq!(play.phase(), Some(JobPhase::Completed));
+        let mut scenario = AbandonedRuns::new(&["w1", "w2"], spec);
+        scenario.report_completions();
+        scenario.rig.store_batches();
+        scenario.rig.advance(100);
+        scenario.rig.store_batches();
+        assert_eq!(scenario.rig.starts(), vec![]);
+        assert_eq!(scenario.phase(), Some(JobPhase::Completed));
     }
 }
 
-/// What was started again for a task that is done would do its work a second time.
+/// A run that was restarted for a completed task would execute its work a second time.
 #[test]
 fn verify_an_end_that_is_listed_late_stops_what_was_started_again() {
     for spec in [step(2, 4), gang(2, 4)] {
-        let mut play = GivenUp::play(&["w1", "w2"], spec);
-        assert_eq!(play.rig.start_all().len(), 2);
-        play.list_ends();
-        play.rig.advance(100);
-        assert_eq!(play.rig.stops().len(), 2);
-        play.rig.store_batches();
-        assert_eq!(play.phase(), Some(JobPhase::Completed));
-        assert_eq!(play.rig.start_all(), vec![]);
+        let mut scenario = AbandonedRuns::new(&["w1", "w2"], spec);
+        assert_eq!(scenario.rig.start_all().len(), 2);
+        scenario.report_completions();
+        scenario.rig.advance(100);
+        assert_eq!(scenario.rig.stops().len(), 2);
+        scenario.rig.store_batches();
+        assert_eq!(scenario.phase(), Some(JobPhase::Completed));
+        assert_eq!(scenario.rig.start_all(), vec![]);
     }
 }
 
-/// What has to last is started again however it ends.
+/// A long-running task is restarted regardless of how its run ended.
 #[test]
 fn verify_a_late_end_of_a_lasting_task_stops_nothing() {
     let spec = StepSpec {
         is_long_running: true,
         ..step(1, 4)
     };
-    let mut play = GivenUp::play(&["w1", "w2"], spec);
-    assert_eq!(play.rig.start_all().len(), 1);
-    play.list_ends();
-    play.rig.advance(100);
-    assert_eq!(play.rig.stops(), vec![]);
-    assert_eq!(play.phase(), Some(JobPhase::Running));
+    let mut scenario = AbandonedRuns::new(&["w1", "w2"], spec);
+    assert_eq!(scenario.rig.start_all().len(), 1);
+    scenario.report_completions();
+    scenario.rig.advance(100);
+    assert_eq!(scenario.rig.stops(), vec![]);
+    assert_eq!(scenario.phase(), Some(JobPhase::Running));
 }
 
-/// An end that is listed once more would store its job again, and stop what runs of its gang.
+/// A run end that is reported again must neither store its job again nor stop runs of its gang.
 #[test]
 fn verify_an_end_that_is_known_stores_and_stops_nothing() {
     let second = StepSpec {
         after: vec![0],
         ..step(1, 8)
     };
-    let mut play = GivenUp::play_steps(&["w1", "w2"], vec![gang(2, 4), second]);
-    play.list_ends();
-    assert_eq!(play.rig.start_all().len(), 1, "the next step begins");
-    play.rig.store_batches();
-    let ends = (11..).zip(&play.starts);
+    let mut scenario = AbandonedRuns::with_steps(&["w1", "w2"], vec![gang(2, 4), second]);
+    scenario.report_completions();
+    assert_eq!(scenario.rig.start_all().len(), 1, "the next step starts");
+    scenario.rig.store_batches();
+    let ends = (11..).zip(&scenario.starts);
     let ends = ends.map(|(number, start)| ended(number, start, EndKind::Done));
     let ends = ends.collect();
-    play.rig.stops();
-    play.rig.poll_reply("w1", vec![], ends);
-    play.rig.advance(100);
-    assert!(play.rig.batches().is_empty());
-    assert_eq!(play.rig.stops(), vec![]);
+    scenario.rig.stops();
+    scenario.rig.poll_reply("w1", vec![], ends);
+    scenario.rig.advance(100);
+    assert!(scenario.rig.batches().is_empty());
+    assert_eq!(scenario.rig.stops(), vec![]);
 }
--- a/ragwortwick-area/tests/pacing.rs
+++ b/ragwortwick-area/tests/pacing.rs
@@ -1,4 +1,4 @@
-//! How the coordinator shares its thread's time between passes, events and waiting.
+//! How the coordinator divides the time of its thread between placement passes, events and waiting.
 
 mod rig;
 
@@ -8,9 +8,9 @@
 use ragwortwick_core::{DurationMs, TimeMs};
 use rig::{Rig, at, job, step, worker};
 
-/// Callers see urgent work begin seconds late: on a full host a pass takes longer than the pause
-/// after it, and each answer of a worker that came meanwhile waits for a pass of its own. What a pass
-/// took is therefore left, three times over, to the events after it.
+/// On a busy host a placement pass takes longer than the minimum pause, and each worker reply that arrived
+/// meanwhile would wait for another pass, so that urgent work starts seconds late. The pause after a pass is
+/// therefore three times its duration.
 #[test]
 fn verify_a_long_pass_leaves_time_to_what_came_meanwhile() {
     let mut rig = Rig::new(&[worker("w1", "r1")]);
@@ -25,7 +25,7 @@
     rig.submit("00000000000000d1", "patient", step(1, 1));
     assert!(
         rig.store_batches().is_empty(),
-        "no pass with the next event"
+        "the next event triggers no pass"
     );
     rig.advance(140);
     assert!(
@@ -36,9 +36,9 @@
     assert_eq!(rig.store_batches().len(), 1, "the second job is placed");
 }
 
-/// A job's set time comes while the list of workers is old, as its reader is slow. Callers on this host
-/// then get no answers at all: the coordinator asked to be woken at a time that had passed, again and
-/// again, and its thread left the processor to nobody, the reader of the list included.
+/// A scheduled occurrence becomes due while the worker list is stale because its reader is slow. The
+/// coordinator used to request a wakeup in the past again and again; its thread took all processor time, so
+/// that neither the reader of the list nor the requests of clients on this host were served.
 #[test]
 fn verify_set_time_without_a_fresh_list_of_workers_is_waited_for() {
     let mut rig = Rig::new(&[worker("w1", "r1")]);
@@ -61,9 +61,9 @@
         let next = rig.coordinator.next_wakeup(now).expect("a job is open");
         rig.now = next.max(rig.now);
         wakeups += 1;
-        assert!(wakeups < 100, "woken again and again at {}", rig.now);
+        assert!(wakeups < 100, "repeated wakeups at {}", rig.now);
     }
     rig.advance(20);
     rig.store_batches();
-    assert_eq!(rig.starts().len(), 3, "all that is due starts");
+    assert_eq!(rig.starts().len(), 3, "all due occurrences start");
 }
--- a/ragwortwick-area/tests/reach.rs
+++ b/ragwortwick-area/tests/reach.rs
@@ -1,4 +1,4 @@
-//! Workers that are out of reach for longer than their leases, and come back or don't.
+//! Workers that are unreachable for longer than their leases, with or without a return.
 
 mod rig;
 
@@ -6,9 +6,9 @@
 use ragwortwick_core::{JobId, WorkerName};
 use rig::{Rig, ended, step, worker};
 
-/// The coordinator is cut off from all workers for longer than their leases. Everything there is given
-/// up, so nothing is left to look for, and without a look the workers would count as silent for ever:
-/// callers' jobs would wait although every worker is idle and back in reach.
+/// The coordinator is partitioned from all workers for longer than their leases and abandons their runs. If
+/// workers without runs were not polled, they would count as unresponsive forever, and jobs would wait
+/// although every worker is idle and reachable again.
 #[test]
 fn verify_silent_worker_without_runs_is_tried_again() {
     let mut rig = Rig::new(&[worker("w1", "r1")]);
@@ -24,17 +24,20 @@
         rig.poll_fails(&WorkerName::new("w1"));
     }
     rig.advance(2_000);
-    let is_look = |action: &Action| matches!(action, Action::Poll { .. });
-    assert!(rig.actions.iter().any(is_look), "the worker is tried again");
+    let is_poll = |action: &Action| matches!(action, Action::Poll { .. });
+    assert!(
+        rig.actions.iter().any(is_poll),
+        "the worker is polled again"
+    );
     rig.poll_reply("w1", Vec::new(), Vec::new());
     rig.advance(20);
     rig.store_batches();
-    assert_eq!(rig.starts().len(), 1, "the job starts anew");
+    assert_eq!(rig.starts().len(), 1, "the job starts again");
 }
 
-/// A caller's booking is made on a worker that is out of reach, and its lease runs out with nothing else
-/// running there, or its entry vanishes as well. It is heard first: started elsewhere meanwhile, the
-/// booking would be made twice. If it stays silent the task starts elsewhere after all.
+/// A booking is made on an unreachable worker whose lease ends, and whose entry may be removed as well. The
+/// coordinator must wait for the worker to return before it starts the task elsewhere, or the booking would
+/// be made twice. If the worker stays unresponsive, the task starts elsewhere in the end.
 #[test]
 fn verify_silent_worker_is_heard_before_its_work_starts_again() {
     let workers = [worker("w1", "r1"), worker("w2", "r1")];
@@ -48,18 +51,18 @@
         if !is_listed {
             rig.send(Event::WorkerRemoved(start.0.clone()));
         }
-        let silent = |rig: &mut Rig| {
+        let miss_poll = |rig: &mut Rig| {
             rig.poll_fails(&start.0);
             rig.advance(1_000);
             rig.store_batches();
         };
         for _ in 0..12 {
-            silent(&mut rig);
+            miss_poll(&mut rig);
         }
         assert_eq!(
             rig.starts(),
             vec![],
-            "the lease of 10 s is over, and it is waited"
+            "the lease of 10 s has ended, and the grace period has not"
         );
         if is_back {
             rig.poll_reply(
@@ -73,9 +76,9 @@
             assert_eq!(phase, Some(ragwortwick_area::JobPhase::Completed));
         } else {
             for _ in 0..6 {
-                silent(&mut rig);
+                miss_poll(&mut rig);
             }
-            assert_eq!(rig.starts().len(), 1, "it starts elsewhere");
+            assert_eq!(rig.starts().len(), 1, "the task starts elsewhere");
         }
     }
 }
--- a/ragwortwick-area/tests/rig/mod.rs
+++ b/ragwortwick-area/tests/rig/mod.rs
@@ -1,5 +1,5 @@
-//! A coordinator with workers that tests answer for by hand.
-#![allow(dead_code, reason = "each test file uses its part of the rig")]
+//! Test rig: a coordinator whose workers, store and clock are simulated by the test.
+#![allow(dead_code, reason = "each test file uses a part of the rig")]
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 
 pub const ATTEMPTS: u32 = 3;
 
-/// A coordinator at a time that the test moves.
+/// A coordinator, the current time and the actions that were not taken yet.
 pub struct Rig {
     pub coordinator: Coordinator,
     pub now: TimeMs,
@@ -143,7 +143,7 @@
         self.actions.extend(actions);
     }
 
-    /// Lets time pass in small steps, the workers' list staying fresh.
+    /// Advances the time in steps of 10 ms and keeps the worker list fresh.
     pub fn advance(&mut self, span_ms: u64) {
         let end = self.now.0 + span_ms;
         while self.now.0 < end {
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Takes the batches that wait.
+    /// Takes the store actions.
     pub fn batches(&mut self) -> Vec<(u64, Vec<ProgressRecord>)> {
         self.take(|action| match action {
             Action::Store { batch, records } => Some((*batch, records.clone())),
@@ -162,7 +162,7 @@
         })
     }
 
-    /// Takes the batches that wait and confirms them; gives their records.
+    /// Takes all batches, confirms them as stored and returns their records.
     pub fn store_batches(&mut self) -> Vec<(JobId, JobProgress)> {
         let mut stored = Vec::new();
         loop {
@@ -178,24 +178,24 @@
         }
     }
 
-    /// Hands a job of one step in.
+    /// Submits a job of one step for customer `c`.
     pub fn submit(&mut self, id: &str, queue: &str, step: StepSpec) {
         self.send(Event::JobAccepted(job(id, queue, vec![step])));
     }
 
-    /// Takes the actions that are picked, and gives what was picked of them.
+    /// Removes the actions for which `pick` returns a value, and returns these values.
     pub fn take<R>(&mut self, pick: impl Fn(&Action) -> Option<R>) -> Vec<R> {
         let mut taken = Vec::new();
         self.actions.retain(|action| {
             let picked = pick(action);
-            let is_left = picked.is_none();
+            let is_kept = picked.is_none();
             taken.extend(picked);
-            is_left
+            is_kept
         });
         taken
     }
 
-    /// Takes the starts that were sent.
+    /// Takes the start orders.
     pub fn starts(&mut self) -> Vec<(WorkerName, TaskId, u32)> {
         self.take(|action| match action {
             Action::Start {
@@ -205,7 +205,7 @@
         })
     }
 
-    /// Lets what waits be placed, stored and started; gives the starts, all accepted.
+    /// Places, stores, starts and accepts the runs that are ready, and returns them.
     pub fn start_all(&mut self) -> Vec<(WorkerName, TaskId, u32)> {
         self.advance(20);
         self.store_batches();
@@ -216,7 +216,7 @@
         starts
     }
 
-    /// Hands a job in now, of the given customer and queue.
+    /// Submits a job of one step for the given customer, accepted at the current time.
     pub fn submit_as(&mut self, id: &str, customer: &str, queue: &str, step: StepSpec) {
         let record = JobRecord {
             accepted_unix_ms: self.now,
@@ -226,22 +226,22 @@
         self.send(Event::JobAccepted(Arc::new(record)));
     }
 
-    /// A look tells how far the runs are.
+    /// Reports the progress of those of the runs that are on the worker.
     pub fn report_progress(
         &mut self,
         worker: &str,
         runs: &[(WorkerName, TaskId, u32)],
         percent: u32,
     ) {
-        let here = runs.iter().filter(|run| run.0.as_str() == worker);
-        let rows = here.map(|run| RunningTask {
+        let on_worker = runs.iter().filter(|run| run.0.as_str() == worker);
+        let rows = on_worker.map(|run| RunningTask {
             percent,
             ..running(run)
         });
         self.poll_reply(worker, rows.collect(), Vec::new());
     }
 
-    /// Takes the stops that were sent.
+    /// Takes the stop orders.
     pub fn stops(&mut self) -> Vec<(WorkerName, TaskId, u32)> {
         self.take(|action| match action {
             Action::Stop {
@@ -251,7 +251,7 @@
         })
     }
 
-    /// A look at the worker gets no answer.
+    /// Lets a poll of the worker time out.
     pub fn poll_fails(&mut self, worker: &WorkerName) {
         self.poll_fails_with(worker, PollFailure::NoAnswer);
     }
@@ -263,7 +263,7 @@
         });
     }
 
-    /// Takes what was told of lost workers.
+    /// Takes the log entries of lost workers.
     pub fn losses(&mut self) -> Vec<WorkerLossReport> {
         self.take(|action| match action {
             Action::LogWorkerLoss(lost) => Some(lost.clone()),
--- a/ragwortwick-area/tests/takeover.rs
+++ b/ragwortwick-area/tests/takeover.rs
@@ -1,4 +1,4 @@
-//! What a new coordinator makes of what the last one left.
+//! Recovery of jobs and runs by a new coordinator, and the storing of runs and run ends that it relies on.
 
 mod rig;
 
@@ -11,12 +11,12 @@
 use ragwortwick_core::{JobId, WorkerName};
 use rig::{ATTEMPTS, Rig, ended, gang, job, running, step, worker};
 
-/// A gang's member fails, its end is stored and forgotten by its worker, and the coordinator dies
-/// before the other member has ended. The caller's job must still count that run as failed: lost,
-/// it would be started once more often than its queue allows.
+/// A gang member fails, its run end is stored and acknowledged, and the coordinator crashes before the
+/// other member has ended. If the failed run were not counted, the gang would start once more than its
+/// queue allows.
 #[test]
 fn verify_failing_run_of_a_gang_counts_across_a_takeover() {
-    // Enough workers that none is suspected for the failures of this one job.
+    // Enough workers that none is suspected because of the failures of this one job.
     let workers: Vec<_> = (0..8).map(|n| worker(&format!("w{n}"), "r1")).collect();
     let record = job("00000000000000aa", "middle", vec![gang(2, 8)]);
     let mut rig = Rig::new(&workers);
@@ -51,45 +51,45 @@
     }
     let (_, progress) = last.expect("the failed end is stored");
 
-    let known = RecoveredJob {
+    let recovered = RecoveredJob {
         record,
         progress: Some(progress),
         is_cancelled: false,
     };
-    let mut next = Rig::take_over(10_000, vec![known], &workers);
+    let mut next = Rig::take_over(10_000, vec![recovered], &workers);
     for worker in &workers {
         next.poll_reply(worker.name.as_str(), vec![], vec![]);
     }
     next.advance(200);
     next.store_batches();
-    assert_eq!(next.starts(), vec![], "a fourth run must not begin");
+    assert_eq!(next.starts(), vec![], "a fourth run must not start");
     let phase = next.coordinator.phase(&JobId::new("00000000000000aa"));
     assert_eq!(phase, Some(ragwortwick_area::JobPhase::Failed));
 }
 
-/// A job of one task as the store has it after its coordinator sent the start and died.
+/// A job of one task as it is stored after its coordinator sent the start order and crashed.
 fn recorded_start(id: &str, workers: &[WorkerEntry]) -> (RecoveredJob, (WorkerName, TaskId, u32)) {
     let record = job(id, "middle", vec![step(1, 8)]);
     let mut rig = Rig::new(workers);
     rig.send(Event::JobAccepted(Arc::clone(&record)));
     rig.advance(20);
-    let stored = rig.store_batches().pop().expect("the start is announced");
+    let stored = rig.store_batches().pop().expect("the start is recorded");
     let start = rig.starts().pop().expect("the task starts");
-    let known = RecoveredJob {
+    let recovered = RecoveredJob {
         record,
         progress: Some(stored.1),
         is_cancelled: false,
     };
-    (known, start)
+    (recovered, start)
 }
 
-/// The last coordinator recorded a start and died; its worker can't be reached. The task may be
-/// running there, so it is started elsewhere only once every lease there must have run out.
+/// The previous coordinator recorded a start and crashed, and the worker is unreachable. The task may be
+/// running there, so it may start elsewhere only after every lease of the worker must have ended.
 #[test]
 fn verify_recorded_run_blocks_its_task_until_the_lease_is_over() {
     let workers = [worker("w1", "r1"), worker("w2", "r1")];
-    let (known, start) = recorded_start("00000000000000ab", &workers);
-    let mut next = Rig::take_over(10_000, vec![known], &workers);
+    let (recovered, start) = recorded_start("00000000000000ab", &workers);
+    let mut next = Rig::take_over(10_000, vec![recovered], &workers);
     for _ in 0..13 {
         next.advance(1_000);
         next.store_batches();
@@ -99,17 +99,17 @@
     next.send(Event::WorkerRemoved(start.0.clone()));
     next.advance(5_000);
     next.store_batches();
-    let again = next.starts();
-    assert_eq!(again.len(), 1);
-    assert_eq!(again[0].2, 2, "the run's number rises");
+    let restarted = next.starts();
+    assert_eq!(restarted.len(), 1);
+    assert_eq!(restarted[0].2, 2, "the run number increases");
 }
 
-/// As above, but the worker shows the run: it goes on under the new coordinator.
+/// As above, but the worker reports the run, which continues under the new coordinator.
 #[test]
 fn verify_running_task_is_adopted() {
     let workers = [worker("w1", "r1")];
-    let (known, start) = recorded_start("00000000000000ac", &workers);
-    let mut next = Rig::take_over(10_000, vec![known], &workers);
+    let (recovered, start) = recorded_start("00000000000000ac", &workers);
+    let mut next = Rig::take_over(10_000, vec![recovered], &workers);
     next.poll_reply("w1", vec![running(&start)], vec![]);
     next.advance(1_000);
     next.store_batches();
@@ -119,37 +119,36 @@
     assert_eq!(phase, Some(ragwortwick_area::JobPhase::Completed));
 }
 
-/// A caller's job stands still although most workers are idle. Its last task had come to its end on
-/// a worker that was leaving; a zone was cut off before the coordinator there could store that, and
-/// the end was lost with both. The next coordinator can't know, and waits until every lease must
-/// have run out, which outlasts the time within which a silent worker is to be heard. It waited for
-/// both, one after the other: `term_begins` at 35.4 s, `run_over … cause=WorkerSilent` at 52.5 s,
-/// and the step after it had not begun when the job was asked for at 58 s.
+/// A run completed on a worker that was leaving, and a network partition kept its coordinator from storing
+/// that. The next coordinator must wait until every lease has ended, which takes longer than the grace
+/// period of an unresponsive worker. When it waited for one after the other, the run was abandoned 17.1 s
+/// after the start of the term (35.4 s to 52.5 s), and the next step had not started at 58 s although most
+/// workers were idle.
 #[test]
 fn verify_recorded_run_on_a_lost_worker_is_given_up_once_its_lease_is_over() {
     let workers = [worker("w1", "r1"), worker("w2", "r1")];
-    let (known, start) = recorded_start("00000000000000b1", &workers);
-    let mut next = Rig::take_over(10_000, vec![known], &workers);
+    let (recovered, start) = recorded_start("00000000000000b1", &workers);
+    let mut next = Rig::take_over(10_000, vec![recovered], &workers);
     next.send(Event::WorkerRemoved(start.0.clone()));
-    // The last lease may have been sent 4 s after the takeover, and lasts 10.7 s with all margins.
+    // The last lease may have been sent 4 s after the takeover, and lasts 10.7 s including all margins.
     for _ in 0..15 {
         next.poll_fails(&start.0);
         next.advance(1_000);
         next.store_batches();
     }
-    assert_eq!(next.starts().len(), 1, "it starts elsewhere");
+    assert_eq!(next.starts().len(), 1, "the task starts elsewhere");
 }
 
-/// A caller's task ended on a worker that then left; only a coordinator that had lost the store heard
-/// it, and tells once it is back. The task counts as done under the next coordinator, which would else
-/// do it again. An end of an earlier run says nothing of the run that is recorded.
+/// A task completed on a worker that then left, and only a coordinator without access to the store received
+/// the completion. Once it is handed over, the next coordinator must not execute the task again. The
+/// completion of an earlier run does not complete the recorded run.
 #[test]
 fn verify_end_that_an_earlier_coordinator_left_is_final() {
     let workers = [worker("w1", "r1"), worker("w2", "r1")];
-    let (known, start) = recorded_start("00000000000000b2", &workers);
+    let (recovered, start) = recorded_start("00000000000000b2", &workers);
     let (task, run) = (start.1.clone(), start.2);
     let job_id = task.job_id.clone();
-    let mut next = Rig::take_over(10_000, vec![known], &workers);
+    let mut next = Rig::take_over(10_000, vec![recovered], &workers);
     next.send(Event::WorkerRemoved(start.0.clone()));
     next.send(Event::CompletionHandedOver {
         task: task.clone(),
@@ -162,12 +161,12 @@
     assert_eq!(phase, Some(ragwortwick_area::JobPhase::Completed));
     next.advance(20_000);
     next.store_batches();
-    assert_eq!(next.starts(), vec![], "it is not done again");
+    assert_eq!(next.starts(), vec![], "the task is not executed again");
 }
 
-/// A start gets no answer and is refused when it is repeated. The first one may still arrive late,
-/// so a stop has to rule it out before the task runs elsewhere; without it the caller's booking
-/// would be made twice.
+/// A start order gets no reply and is refused when it is repeated. The first one may still arrive late, so
+/// a stop order must rule it out before the task starts elsewhere; otherwise the booking would be made
+/// twice.
 #[test]
 fn verify_refused_repeat_of_a_doubtful_start_is_stopped_first() {
     let workers = [worker("w1", "r1"), worker("w2", "r2")];
@@ -187,9 +186,9 @@
     assert_eq!(
         rig.starts(),
         vec![],
-        "nothing starts before the stop is sure"
+        "nothing starts before the stop is confirmed"
     );
-    let stop = rig.stops().pop().expect("the doubtful run is stopped");
+    let stop = rig.stops().pop().expect("the unconfirmed run is stopped");
     let clock_ms = 200_000;
     rig.send(Event::StopReplied {
         worker: stop.0.clone(),
@@ -201,13 +200,13 @@
     rig.poll_reply(stop.0.as_str(), vec![], vec![]);
     rig.advance(50);
     rig.store_batches();
-    let again = rig.starts();
-    assert_eq!(again.len(), 1);
-    assert_eq!(again[0].2, first.2 + 1);
+    let restarted = rig.starts();
+    assert_eq!(restarted.len(), 1);
+    assert_eq!(restarted[0].2, first.2 + 1);
 }
 
-/// A worker answers that this life of it is over: what ran there is gone, and starts elsewhere at
-/// once instead of waiting for its lease.
+/// Another incarnation replies at the worker's address, so the runs of the earlier one no longer exist. They
+/// start elsewhere at once instead of after the end of the lease.
 #[test]
 fn verify_task_of_an_ended_life_starts_at_once() {
     let workers = [worker("w1", "r1"), worker("w2", "r1")];
@@ -223,14 +222,14 @@
     });
     rig.advance(30);
     rig.store_batches();
-    let again = rig.starts();
-    assert_eq!(again.len(), 1);
-    assert_ne!(again[0].0, start.0);
+    let restarted = rig.starts();
+    assert_eq!(restarted.len(), 1);
+    assert_ne!(restarted[0].0, start.0);
 }
 
-/// The store takes 32 entries a transaction: a condition and a write for each record, and the
-/// condition on the coordinator's key. A larger batch is refused for good, and callers see every
-/// job stand still.
+/// The store accepts 32 entries in a transaction: a condition and a write for each record, and the
+/// condition on the coordinator's key. A larger batch would be refused permanently, and no job would make
+/// progress.
 #[test]
 fn verify_batches_fit_into_a_transaction() {
     let workers: Vec<_> = (0..20).map(|n| worker(&format!("w{n}"), "r1")).collect();
@@ -255,7 +254,7 @@
     assert_eq!(rig.starts().len(), 80);
 }
 
-/// A start is sent only after its record is stored: a successor must know of every run there can be.
+/// A start order is sent only after its record is stored, since a successor must know every possible run.
 #[test]
 fn verify_start_waits_for_its_record() {
     let mut rig = Rig::new(&[worker("w1", "r1")]);
@@ -266,7 +265,7 @@
     assert_eq!(rig.starts().len(), 2);
 }
 
-/// A worker may forget an end only after its effect is stored.
+/// A run end is acknowledged to its worker only after its effect is stored.
 #[test]
 fn verify_end_is_noted_only_once_it_is_stored() {
     let mut rig = Rig::new(&[worker("w1", "r1")]);
@@ -279,17 +278,17 @@
     rig.actions.clear();
     rig.poll_reply("w1", vec![], vec![ended(7, &start, EndKind::Done)]);
     rig.advance(400);
-    let noted = |rig: &Rig| {
-        let looks = rig.actions.iter().filter_map(|action| match action {
+    let acked_end = |rig: &Rig| {
+        let acked = rig.actions.iter().filter_map(|action| match action {
             Action::Poll {
                 acked_end, worker, ..
             } if *worker == WorkerName::new("w1") => Some(*acked_end),
             _ => None,
         });
-        looks.max()
+        acked.max()
     };
-    assert!(noted(&rig).is_none_or(|noted| noted < 7));
+    assert!(acked_end(&rig).is_none_or(|acked| acked < 7));
     rig.store_batches();
     rig.advance(50);
-    assert_eq!(noted(&rig), Some(7));
+    assert_eq!(acked_end(&rig), Some(7));
 }
