--- a/ragwortwick-area/src/allocation.rs
+++ b/ragwortwick-area/src/allocation.rs
@@ -32,7 +32,7 @@
     /// The run has to stop.
     Stopping {
         /// Why the run has to stop.
-        why: RunEndReason,
+        reason: RunEndReason,
         /// When the stop order was last sent; none if it was not sent yet.
         sent_at: Option<TimeMs>,
         /// Whether a reply is pending.
@@ -44,9 +44,9 @@
 
 impl AllocationPhase {
     /// A stop whose order was not sent yet.
-    pub(crate) fn stop_pending(why: RunEndReason) -> Self {
+    pub(crate) fn stop_pending(reason: RunEndReason) -> Self {
         Self::Stopping {
-            why,
+            reason,
             sent_at: None,
             in_flight: false,
             confirmed_at: None,
--- a/ragwortwick-area/src/messages.rs
+++ b/ragwortwick-area/src/messages.rs
@@ -271,7 +271,7 @@
     /// Its run.
     pub run: u32,
     /// Why the run ended.
-    pub why: RunEndReason,
+    pub reason: RunEndReason,
     /// How long the run lasted, if its worker had confirmed the start.
     pub ran_ms: Option<DurationMs>,
     /// Lost work that has to be repeated, in core-equivalents times milliseconds.
--- a/ragwortwick-area/src/run_ends.rs
+++ b/ragwortwick-area/src/run_ends.rs
@@ -67,16 +67,16 @@
         let Some(allocation) = worker.release(task) else {
             return;
         };
-        let why = match outcome {
+        let reason = match outcome {
             RunOutcome::Done => RunEndReason::Done,
             RunOutcome::Failed => RunEndReason::Failed,
             RunOutcome::NoVerdict | RunOutcome::Lost(_) => match (allocation.phase, outcome) {
-                (AllocationPhase::Stopping { why, .. }, _) => why,
+                (AllocationPhase::Stopping { reason, .. }, _) => reason,
                 (_, RunOutcome::Lost(loss)) => loss.into(),
                 _ => RunEndReason::NotThere,
             },
         };
-        let wasted_ms = match why {
+        let wasted_ms = match reason {
             RunEndReason::Done => DurationMs(0),
             _ => allocation.wasted_ms(now, self.limits.restore_ms),
         };
@@ -85,7 +85,7 @@
             worker: worker_name.clone(),
             task: task.clone(),
             run,
-            why,
+            reason,
             ran_ms: allocation.started_at.map(|at| now.since(at)),
             lost_core_ms,
         }));
@@ -108,8 +108,8 @@
         };
         let follow_up = job.apply_outcome(task, run, outcome, &allocation.checkpoint, attempts);
         job.last_run_ended_at = now;
-        if why != RunEndReason::Done {
-            job.accounting.on_run_lost(why, wasted_ms, lost_core_ms);
+        if reason != RunEndReason::Done {
+            job.accounting.on_run_lost(reason, wasted_ms, lost_core_ms);
         }
         if job.is_idle() {
             job.accounting.on_idle(now);
--- a/ragwortwick-area/src/stops.rs
+++ b/ragwortwick-area/src/stops.rs
@@ -83,7 +83,7 @@
     pub(crate) fn stop_matching(
         &mut self,
         now: TimeMs,
-        why: RunEndReason,
+        reason: RunEndReason,
         matches: impl Fn(&TaskId) -> bool,
     ) {
         let names: Vec<WorkerName> = self
@@ -93,7 +93,7 @@
             .map(|(name, _)| name.clone())
             .collect();
         for name in names {
-            self.stop_matching_on(now, &name, why, &matches);
+            self.stop_matching_on(now, &name, reason, &matches);
         }
     }
 
@@ -102,7 +102,7 @@
         &mut self,
         now: TimeMs,
         name: &WorkerName,
-        why: RunEndReason,
+        reason: RunEndReason,
         matches: impl Fn(&TaskId) -> bool,
     ) {
         let Some(worker) = self.workers.get_mut(name) else {
@@ -117,7 +117,7 @@
             if allocation.phase == AllocationPhase::AwaitingRecord {
                 unsent.push((task.clone(), allocation.run));
             }
-            allocation.phase = AllocationPhase::stop_pending(why);
+            allocation.phase = AllocationPhase::stop_pending(reason);
         }
         for (task, run) in unsent {
             self.end_run(now, name, &task, run, RunOutcome::NoVerdict);
@@ -125,7 +125,7 @@
     }
 
     /// Stops the run of a task; if the task belongs to a gang, stops the whole gang.
-    pub(crate) fn stop_with_gang(&mut self, now: TimeMs, task: &TaskId, why: RunEndReason) {
+    pub(crate) fn stop_with_gang(&mut self, now: TimeMs, task: &TaskId, reason: RunEndReason) {
         let is_gang = self
             .jobs
             .get(&task.job_id)
@@ -133,9 +133,9 @@
             .is_some_and(|spec| spec.is_gang);
         if is_gang {
             let step = task.step_id();
-            self.stop_matching(now, why, |other| other.belongs_to(&step));
+            self.stop_matching(now, reason, |other| other.belongs_to(&step));
         } else {
-            self.stop_matching(now, why, |other| other == task);
+            self.stop_matching(now, reason, |other| other == task);
         }
     }
 }
--- a/ragwortwick-area/tests/account.rs
+++ b/ragwortwick-area/tests/account.rs
@@ -98,7 +98,7 @@
         vec![ended(1, &start[0], EndKind::Stopped)],
     );
     let lost: Vec<u64> = rig.take(|action| match action {
-        Action::LogRunEnd(over) if over.why == RunEndReason::JobOver => Some(over.lost_core_ms),
+        Action::LogRunEnd(over) if over.reason == RunEndReason::JobOver => Some(over.lost_core_ms),
         _ => None,
     });
     assert_eq!(lost.len(), 1);
--- a/ragwortwick-daemon/src/area/action_dispatcher.rs
+++ b/ragwortwick-daemon/src/area/action_dispatcher.rs
@@ -62,10 +62,10 @@
     }
 
     fn report(&self, over: &RunEnded) {
-        if over.why == RunEndReason::Done {
+        if over.reason == RunEndReason::Done {
             self.unstored.add(&over.task, over.run);
         }
-        let cause = over.why.to_string();
+        let cause = over.reason.to_string();
         let labels = [cause.as_str()];
         self.metrics.runs_ended.with_label_values(&labels).inc();
         let lost = self.metrics.lost_core_seconds.with_label_values(&labels);
