--- a/ragwortwick-http/src/client.rs
+++ b/ragwortwick-http/src/client.rs
@@ -1,4 +1,4 @@
-//! A client that sends JSON and says whether a failed request may have reached the other end.
+//! A JSON client that reports whether a failed request may have reached the server.
 
 use std::io::ErrorKind;
 
@@ -16,14 +16,14 @@
 
 use crate::response_body::{BodyError, ResponseTimeouts, read_body};
 
-/// `HttpClientOptions` sets the bounds of a client.
+/// `HttpClientOptions` sets the limits of a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HttpClientOptions {
     /// Longest time to open a connection.
     pub connect_timeout_ms: DurationMs,
     /// Idle connections kept per address.
     pub max_idle_per_host: usize,
-    /// Largest answer read.
+    /// Largest response body that is read.
     pub max_body_bytes: usize,
 }
 
@@ -37,48 +37,48 @@
     }
 }
 
-/// `HttpError` tells why there is no whole answer.
+/// `HttpError` is the reason why a request got no usable response.
 #[derive(Debug, Display)]
 pub enum HttpError {
-    /// not sent to {address}: {cause}
+    /// request not sent to {address}: {cause}
     NotSent {
-        /// Whom it was meant for.
+        /// Address of the server.
         address: String,
         /// What failed.
         cause: String,
-        /// Whether the other end refused the connection: its machine answers, and nobody listens.
+        /// Whether the connection was refused: the machine is reachable, but no process listens there.
         is_closed: bool,
     },
-    /// no whole answer from {address}: {cause}
+    /// no complete response from {address}: {cause}
     NoResponse {
-        /// Whom it was sent to.
+        /// Address of the server.
         address: String,
         /// What failed.
         cause: String,
-        /// Whether the other end closed the connection; if not, it was silent for too long.
+        /// Whether the server closed the connection; if not, a timeout expired or the body failed.
         is_closed: bool,
     },
-    /// {address} answered {status}: {body}
+    /// {address} responded with status {status}: {body}
     Status {
-        /// Who answered.
+        /// Address of the server.
         address: String,
         /// Status code.
         status: u16,
         /// Body as text.
         body: String,
     },
-    /// too long an answer from {address}: {cause}
+    /// response from {address} is too large: {cause}
     TooLarge {
-        /// Who answered.
+        /// Address of the server.
         address: String,
-        /// The bound that it is beyond.
+        /// The limit that the body exceeds.
         cause: String,
     },
-    /// malformed answer from {address}: {cause}
+    /// malformed response from {address}: {cause}
     Malformed {
-        /// Who answered.
+        /// Address of the server.
         address: String,
-        /// What could not be read.
+        /// Why the body could not be decoded.
         cause: String,
     },
 }
@@ -86,13 +86,13 @@
 impl std::error::Error for HttpError {}
 
 impl HttpError {
-    /// `may_have_arrived` tells whether the other end may have acted on the request.
+    /// `may_have_arrived` returns whether the server may have processed the request.
     #[must_use]
     pub fn may_have_arrived(&self) -> bool {
         !matches!(self, Self::NotSent { .. })
     }
 
-    /// `is_closed` tells whether the other end refused or closed the connection.
+    /// `is_closed` returns whether the server refused or closed the connection.
     #[must_use]
     pub fn is_closed(&self) -> bool {
         match self {
@@ -102,27 +102,27 @@
     }
 }
 
-/// `HttpResponse` is a whole answer.
+/// `HttpResponse` is a complete response.
 #[derive(Clone, Debug)]
 pub struct HttpResponse {
     /// Status code.
     pub status: StatusCode,
     /// Header fields.
     pub headers: http::HeaderMap,
-    /// Body, whole.
+    /// Complete body.
     pub body: Bytes,
 }
 
-/// `ConditionalResponse` is the answer to a conditional read.
+/// `ConditionalResponse` is the response to a conditional GET.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConditionalResponse<R> {
-    /// Nothing changed since the answer that the tag names.
+    /// The representation with the given entity tag is still current.
     NotModified,
-    /// The whole answer.
+    /// The current representation.
     Modified {
-        /// What was read.
+        /// Decoded body.
         value: R,
-        /// Names this answer in the next read, if the server gives tags.
+        /// Its entity tag for the next conditional GET, if the server sends one.
         etag: Option<String>,
     },
 }
@@ -135,7 +135,7 @@
 }
 
 impl HttpClient {
-    /// `new` makes a client; it must be used inside a tokio runtime.
+    /// `new` creates a client; it must be used inside a tokio runtime.
     #[must_use]
     pub fn new(options: &HttpClientOptions) -> Self {
         let mut connector = HttpConnector::new();
@@ -143,7 +143,7 @@
         connector.set_nodelay(true);
         let inner = Client::builder(TokioExecutor::new())
             .pool_max_idle_per_host(options.max_idle_per_host)
-            // A silent second try would hide from us that the first one may have arrived.
+            // A transparent retry would hide that the first request may have arrived.
             .retry_canceled_requests(false)
             .build(connector);
         Self {
@@ -152,11 +152,11 @@
         }
     }
 
-    /// `send` sends one request and reads the whole answer within the timeout.
+    /// `send` sends one request and reads the complete response within the timeout.
     ///
     /// # Errors
     ///
-    /// Fails with `NotSent` if no byte can have arrived, else with `NoResponse`.
+    /// Fails with `NotSent` if no byte can have reached the server, else with `NoResponse`.
     pub async fn send(
         &self,
         method: Method,
@@ -169,11 +169,11 @@
             .await
     }
 
-    /// `send_with` is `send` with further header fields, and limits for each part of the answer.
+    /// `send_with` is `send` with extra header fields, and a timeout for each part of the response.
     ///
     /// # Errors
     ///
-    /// As `send`; with `TooLarge` for a body beyond the client's bound.
+    /// As `send`; with `TooLarge` for a body beyond the client's limit.
     pub async fn send_with(
         &self,
         method: Method,
@@ -181,7 +181,7 @@
         path: &str,
         headers: &[(&str, &str)],
         body: Option<Bytes>,
-        limits: impl Into<ResponseTimeouts>,
+        timeouts: impl Into<ResponseTimeouts>,
     ) -> Result<HttpResponse, HttpError> {
         let mut request = Request::builder()
             .method(method)
@@ -190,7 +190,7 @@
         for (name, value) in headers {
             request = request.header(*name, *value);
         }
-        self.exchange(address, request, body.unwrap_or_default(), limits.into())
+        self.exchange(address, request, body.unwrap_or_default(), timeouts.into())
             .await
     }
 
@@ -199,7 +199,7 @@
         address: &str,
         request: http::request::Builder,
         body: Bytes,
-        limits: ResponseTimeouts,
+        timeouts: ResponseTimeouts,
     ) -> Result<HttpResponse, HttpError> {
         let request = request
             .body(Full::new(body))
@@ -213,12 +213,13 @@
             cause,
             is_closed,
         };
-        let late =
-            |limit_ms: DurationMs| no_response(format!("no answer within {limit_ms} ms"), false);
+        let timed_out = |timeout_ms: DurationMs| {
+            no_response(format!("no response within {timeout_ms} ms"), false)
+        };
         let exchange = async {
-            let response = timeout(limits.head_timeout_ms.into(), self.inner.request(request));
+            let response = timeout(timeouts.head_timeout_ms.into(), self.inner.request(request));
             let Ok(response) = response.await else {
-                return Err(late(limits.head_timeout_ms));
+                return Err(timed_out(timeouts.head_timeout_ms));
             };
             let response = response.map_err(|e| {
                 if e.is_connect() {
@@ -232,13 +233,13 @@
                 }
             })?;
             let (head, body) = response.into_parts();
-            let body = read_body(body, self.max_body_bytes, limits.idle_timeout_ms);
-            let body = body.await.map_err(|failure| match failure {
+            let body = read_body(body, self.max_body_bytes, timeouts.idle_timeout_ms);
+            let body = body.await.map_err(|error| match error {
                 BodyError::TooLarge(_) => HttpError::TooLarge {
                     address: address.to_owned(),
-                    cause: failure.to_string(),
+                    cause: error.to_string(),
                 },
-                _ => no_response(failure.to_string(), false),
+                _ => no_response(error.to_string(), false),
             })?;
             Ok(HttpResponse {
                 status: head.status,
@@ -246,16 +247,16 @@
                 body,
             })
         };
-        timeout(limits.total_timeout_ms.into(), exchange)
+        timeout(timeouts.total_timeout_ms.into(), exchange)
             .await
-            .unwrap_or_else(|_| Err(late(limits.total_timeout_ms)))
+            .unwrap_or_else(|_| Err(timed_out(timeouts.total_timeout_ms)))
     }
 
-    /// `post` sends a JSON body and reads a JSON answer of status 2xx.
+    /// `post` sends a JSON body and decodes the JSON body of a 2xx response.
     ///
     /// # Errors
     ///
-    /// As `send`; also `Status` for other codes and `Malformed` for a body of another type.
+    /// As `send`; also `Status` for other status codes and `Malformed` for a body of another type.
     pub async fn post<Q: Serialize + Sync, R: DeserializeOwned>(
         &self,
         address: &str,
@@ -268,13 +269,13 @@
             cause: e.to_string(),
             is_closed: false,
         })?;
-        let reply = self
+        let response = self
             .send(Method::POST, address, path, Some(bytes.into()), timeout_ms)
             .await?;
-        decode(address, &reply)
+        decode(address, &response)
     }
 
-    /// `get` reads a JSON answer of status 2xx.
+    /// `get` decodes the JSON body of a 2xx response.
     ///
     /// # Errors
     ///
@@ -285,15 +286,15 @@
         path: &str,
         timeout_ms: DurationMs,
     ) -> Result<R, HttpError> {
-        let reply = self
+        let response = self
             .send(Method::GET, address, path, None, timeout_ms)
             .await?;
-        decode(address, &reply)
+        decode(address, &response)
     }
 
-    /// `get_if_modified` reads a JSON answer unless it is still the one that `known_etag` names.
+    /// `get_if_modified` decodes a JSON response unless its entity tag is still `known_etag`.
     ///
-    /// The tag is the `ETag` of an earlier answer; a server without tags sends the whole each time.
+    /// The tag is the `ETag` of an earlier response; a server without tags sends the body each time.
     ///
     /// # Errors
     ///
@@ -311,39 +312,39 @@
         if let Some(etag) = known_etag {
             request = request.header(header::IF_NONE_MATCH, etag);
         }
-        let reply = self
+        let response = self
             .exchange(address, request, Bytes::new(), timeout_ms.into())
             .await?;
-        if reply.status == StatusCode::NOT_MODIFIED {
+        if response.status == StatusCode::NOT_MODIFIED {
             return Ok(ConditionalResponse::NotModified);
         }
-        let etag = reply.headers.get(header::ETAG);
+        let etag = response.headers.get(header::ETAG);
         Ok(ConditionalResponse::Modified {
-            value: decode(address, &reply)?,
+            value: decode(address, &response)?,
             etag: etag.and_then(|etag| etag.to_str().ok()).map(str::to_owned),
         })
     }
 }
 
-fn decode<R: DeserializeOwned>(address: &str, reply: &HttpResponse) -> Result<R, HttpError> {
-    if !reply.status.is_success() {
+fn decode<R: DeserializeOwned>(address: &str, response: &HttpResponse) -> Result<R, HttpError> {
+    if !response.status.is_success() {
         return Err(HttpError::Status {
             address: address.to_owned(),
-            status: reply.status.as_u16(),
-            body: String::from_utf8_lossy(&reply.body).into_owned(),
+            status: response.status.as_u16(),
+            body: String::from_utf8_lossy(&response.body).into_owned(),
         });
     }
-    serde_json::from_slice(&reply.body).map_err(|e| HttpError::Malformed {
+    serde_json::from_slice(&response.body).map_err(|e| HttpError::Malformed {
         address: address.to_owned(),
         cause: e.to_string(),
     })
 }
 
-/// Whether the other end's system closed or refused the connection, by the chain of causes.
+/// Whether the peer closed or refused the connection, by the chain of error sources.
 fn is_closed_by_peer(error: &(dyn std::error::Error + 'static)) -> bool {
     let mut next = Some(error);
     while let Some(error) = next {
-        let is_cut_short = error
+        let is_incomplete = error
             .downcast_ref::<hyper::Error>()
             .is_some_and(|error| error.is_incomplete_message() || error.is_closed());
         let is_refused = error.downcast_ref::<std::io::Error>().is_some_and(|error| {
@@ -355,7 +356,7 @@
                     | ErrorKind::BrokenPipe
             )
         });
-        if is_cut_short || is_refused {
+        if is_incomplete || is_refused {
             return true;
         }
         next = error.source();
@@ -363,7 +364,7 @@
     false
 }
 
-/// The chain of causes, since the outermost one only says that something failed.
+/// Joins the chain of error sources, since the outermost error only says that the request failed.
 fn describe(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
--- a/ragwortwick-http/src/json.rs
+++ b/ragwortwick-http/src/json.rs
@@ -1,4 +1,4 @@
-//! Reading JSON bodies within bounds and writing JSON answers.
+//! Reading JSON request bodies within limits and building JSON responses.
 
 use bytes::Bytes;
 use gotham::handler::IntoResponse;
@@ -13,24 +13,24 @@
 use serde::de::DeserializeOwned;
 use tokio::time::timeout;
 
-/// Longest time for a body where the server sets none.
+/// Default timeout for reading a request body.
 pub(crate) const BODY_TIMEOUT_MS: DurationMs = DurationMs(15_000);
 
-/// `BodyTimeout` is the longest time for a request's body to be whole.
+/// `BodyTimeout` is the timeout for reading a complete request body.
 #[derive(Clone, Copy, Debug, StateData)]
 pub(crate) struct BodyTimeout(pub(crate) DurationMs);
 
-/// `RequestError` is a 4xx answer that names the field at fault.
+/// `RequestError` is an error response that names the invalid field of the request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestError {
     /// Status code.
     pub status: StatusCode,
-    /// Body of the answer.
+    /// Body of the response.
     pub problem: Problem,
 }
 
 impl RequestError {
-    /// `new` names the field and what was expected.
+    /// `new` creates an error from the field and what was expected there.
     pub fn new(status: StatusCode, field: impl Into<String>, problem: impl Into<String>) -> Self {
         Self {
             status,
@@ -48,7 +48,7 @@
     }
 }
 
-/// `json_response` makes an answer with a JSON body.
+/// `json_response` builds a response with a JSON body.
 pub fn json_response<T: Serialize>(state: &State, status: StatusCode, body: &T) -> Response<Body> {
     match serde_json::to_vec(body) {
         Ok(bytes) => create_response(state, status, mime::APPLICATION_JSON, bytes),
@@ -61,11 +61,12 @@
     }
 }
 
-/// `read_json` reads the request's body, at most `max_bytes`, as `T`.
+/// `read_json` reads the request's body, at most `max_bytes`, and decodes it as `T`.
 ///
 /// # Errors
 ///
-/// Fails with 413 for an oversized body, 408 for one that does not end in time, and 400 for one that is no `T`, naming the field's path.
+/// Fails with 413 for a body that is too large, 408 for one that is incomplete at the timeout, and 400 with
+/// the path of the field for one that can't be decoded as `T`.
 pub async fn read_json<T: DeserializeOwned>(
     state: &mut State,
     max_bytes: usize,
@@ -78,14 +79,16 @@
 ///
 /// # Errors
 ///
-/// Fails with 413 for an oversized body, 408 for one that does not end in time, and 400 for one that breaks off.
+/// Fails with 413 for a body that is too large, 408 for one that is incomplete at the timeout, and 400 for
+/// one that is cut off.
 pub async fn read_bytes(state: &mut State, max_bytes: usize) -> Result<Bytes, RequestError> {
-    let limit_ms = BodyTimeout::try_borrow_from(state).map_or(BODY_TIMEOUT_MS, |limit| limit.0);
+    let timeout_ms = BodyTimeout::try_borrow_from(state).map_or(BODY_TIMEOUT_MS, |limit| limit.0);
     let body = Body::take_from(state);
     let body = Limited::new(body, max_bytes).collect();
-    // A caller that never ends its body would hold what it sent so far, and its connection, for good.
-    let Ok(body) = timeout(limit_ms.into(), body).await else {
-        let text = format!("expected whole within {limit_ms} ms");
+    // A client that never completes its body would keep the received part and its connection allocated
+    // forever.
+    let Ok(body) = timeout(timeout_ms.into(), body).await else {
+        let text = format!("expected whole within {timeout_ms} ms");
         return Err(RequestError::new(StatusCode::REQUEST_TIMEOUT, "body", text));
     };
     match body {
@@ -110,9 +113,13 @@
     let mut reader = serde_json::Deserializer::from_slice(bytes);
     let value = serde_path_to_error::deserialize(&mut reader).map_err(|error| {
         let path = error.path().to_string();
-        // The whole value reads as `.`, a place that the reader could not name as `?`.
-        let is_nameless = matches!(path.as_str(), "." | "?");
-        let field = if is_nameless { "body".to_owned() } else { path };
+        // `.` is the path of the root value, `?` that of a position without a known path.
+        let has_no_field = matches!(path.as_str(), "." | "?");
+        let field = if has_no_field {
+            "body".to_owned()
+        } else {
+            path
+        };
         RequestError::new(
             StatusCode::BAD_REQUEST,
             field,
--- a/ragwortwick-http/src/lib.rs
+++ b/ragwortwick-http/src/lib.rs
@@ -1,4 +1,4 @@
-//! HTTP for every process: a bounded server around gotham and a JSON client around hyper-util.
+//! HTTP for all binaries: a server with limits, built on gotham, and a JSON client, built on hyper-util.
 
 mod client;
 mod json;
--- a/ragwortwick-http/src/response_body.rs
+++ b/ragwortwick-http/src/response_body.rs
@@ -1,4 +1,4 @@
-//! Limits on the wait for an answer, and the reading of its body within them.
+//! Timeouts for an HTTP response, and reading its body within them.
 
 use bytes::{Bytes, BytesMut};
 use displaydoc::Display;
@@ -7,17 +7,17 @@
 use ragwortwick_core::DurationMs;
 use tokio::time::timeout;
 
-/// `ResponseTimeouts` bounds the wait for an answer by its parts, so that a long one may flow for long.
+/// `ResponseTimeouts` bounds each part of a response, so that a large body may take long in total.
 ///
-/// Where an answer grows until somebody has read it, a limit on its whole time alone makes each further
-/// try fail as well. A span of time converts into the limits of an answer whose size is known.
+/// Some responses grow until a client has read them; with a total timeout alone, each retry would time out
+/// too. A single duration converts into the timeouts for a response of known size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponseTimeouts {
-    /// Longest wait for the head.
+    /// Longest time until the response head is received.
     pub head_timeout_ms: DurationMs,
-    /// Longest pause between two parts of the body.
+    /// Longest time without a frame of the body.
     pub idle_timeout_ms: DurationMs,
-    /// Longest time until the answer is whole.
+    /// Longest time until the whole response is received.
     pub total_timeout_ms: DurationMs,
 }
 
@@ -31,18 +31,18 @@
     }
 }
 
-/// `BodyError` says why a body is not whole.
+/// `BodyError` is the reason why a body could not be read completely.
 #[derive(Debug, Display)]
 pub(crate) enum BodyError {
-    /// nothing more came for {0} ms
+    /// no data received for {0} ms
     IdleTimeout(DurationMs),
-    /// longer than {0} bytes
+    /// larger than {0} bytes
     TooLarge(usize),
     /// {0}
     Read(String),
 }
 
-/// Reads a body to its end.
+/// Reads a complete body.
 pub(crate) async fn read_body(
     body: Incoming,
     max_bytes: usize,
@@ -61,7 +61,7 @@
             Ok(_) => BodyError::TooLarge(max_bytes),
             Err(error) => BodyError::Read(error.to_string()),
         })?;
-        // Trailers carry nothing of the answer itself.
+        // Trailers carry no part of the body.
         if let Ok(data) = frame.into_data() {
             bytes.extend_from_slice(&data);
         }
--- a/ragwortwick-http/src/server.rs
+++ b/ragwortwick-http/src/server.rs
@@ -1,4 +1,4 @@
-//! A server that runs a gotham router with bounds on connections, headers and waiting.
+//! A server that runs a gotham router with limits on connections, header size and timeouts.
 
 use std::io;
 use std::net::SocketAddr;
@@ -21,21 +21,21 @@
 use crate::json::{BODY_TIMEOUT_MS, BodyTimeout};
 use crate::write_timeout::WriteTimeoutStream;
 
-/// `ServerOptions` sets the bounds of a server.
+/// `ServerOptions` sets the limits of a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerOptions {
-    /// Most connections open at once; further ones wait in the listen queue.
+    /// Maximum number of open connections; further ones wait in the listen queue.
     pub max_connections: usize,
     /// Largest request head.
     pub max_header_bytes: usize,
-    /// Longest time until a request head is complete, on a new or an idle kept connection.
+    /// Longest time until a request head is complete, on a new or an idle keep-alive connection.
     ///
-    /// It must exceed the balancer's idle timeout: a server that closes first can close just as the
-    /// balancer sends the next request, and that caller sees a reset.
+    /// It must exceed the load balancer's idle timeout: a server that closes first may close while the
+    /// balancer sends the next request, and that client gets a connection reset.
     pub header_timeout_ms: DurationMs,
-    /// Longest time for a request's body to be whole.
+    /// Longest time until a request body is complete.
     pub body_timeout_ms: DurationMs,
-    /// Longest time for a caller to take no byte of its answer.
+    /// Longest time without a byte of the response accepted by the client.
     pub write_timeout_ms: DurationMs,
 }
 
@@ -60,7 +60,7 @@
 }
 
 impl Server {
-    /// `bind` listens on the address and serves the router until `close`.
+    /// `bind` listens on the address and serves requests until `close`.
     ///
     /// # Errors
     ///
@@ -68,8 +68,8 @@
     pub async fn bind(address: &str, router: Router, options: ServerOptions) -> io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
-        let (stop, stopped) = oneshot::channel();
-        let accept_loop = tokio::spawn(accept(listener, router, options, stopped));
+        let (stop, shutdown) = oneshot::channel();
+        let accept_loop = tokio::spawn(accept(listener, router, options, shutdown));
         Ok(Self {
             address,
             stop,
@@ -77,15 +77,15 @@
         })
     }
 
-    /// `address` is where the server listens.
+    /// `address` returns the address that the server listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// `close` stops listening, lets every request that was begun finish, and then returns.
+    /// `close` stops listening and returns after all requests in progress have finished.
     pub async fn close(self) {
-        // The loop may have ended by itself; then there is nothing left to stop.
+        // The accept loop may have ended already; then there is nothing to stop.
         let _ = self.stop.send(());
         drop(self.accept_loop.await);
     }
@@ -95,7 +95,7 @@
     listener: TcpListener,
     router: Router,
     options: ServerOptions,
-    mut stopped: oneshot::Receiver<()>,
+    mut shutdown: oneshot::Receiver<()>,
 ) {
     let permits = Arc::new(Semaphore::new(options.max_connections));
     let mut builder = Builder::new(TokioExecutor::new());
@@ -111,33 +111,33 @@
             Some((permit, listener.accept().await))
         };
         let (permit, accepted) = tokio::select! {
-            _ = &mut stopped => break,
+            _ = &mut shutdown => break,
             next = next => match next {
                 Some(next) => next,
                 None => break,
             },
         };
         let Ok((socket, peer)) = accepted else {
-            // Out of file descriptors: the pause keeps a full process from spinning.
+            // Probably out of file descriptors: the pause keeps the loop from spinning.
             tokio::time::sleep(std::time::Duration::from_millis(20)).await;
             continue;
         };
-        // Small answers must not wait for more bytes; without the option the answer is only later.
+        // Small responses must not wait for more bytes. If the option can't be set, they are only slower.
         drop(socket.set_nodelay(true));
         let socket = WriteTimeoutStream::new(socket, options.write_timeout_ms.into());
-        let handling = Handling {
+        let context = ConnectionContext {
             router: router.clone(),
             peer,
             body_timeout: BodyTimeout(options.body_timeout_ms),
         };
-        serve(&builder, &graceful, socket, handling, permit);
+        serve(&builder, &graceful, socket, context, permit);
     }
     drop(listener);
     graceful.shutdown().await;
 }
 
-/// What every request of one connection is handled with.
-struct Handling {
+/// Context shared by all requests of one connection.
+struct ConnectionContext {
     router: Router,
     peer: SocketAddr,
     body_timeout: BodyTimeout,
@@ -147,13 +147,13 @@
     builder: &Builder<TokioExecutor>,
     graceful: &GracefulShutdown,
     socket: WriteTimeoutStream,
-    handling: Handling,
+    context: ConnectionContext,
     permit: OwnedSemaphorePermit,
 ) {
     let service = service_fn(move |request: hyper::Request<Incoming>| {
-        let mut state = State::from_request(request, handling.peer);
-        state.put(handling.body_timeout);
-        let router = handling.router.clone();
+        let mut state = State::from_request(request, context.peer);
+        state.put(context.body_timeout);
+        let router = context.router.clone();
         async move {
             call_handler(router, AssertUnwindSafe(state))
                 .await
@@ -165,7 +165,7 @@
         .into_owned();
     let connection = graceful.watch(connection);
     tokio::spawn(async move {
-        // A broken connection concerns only its caller, who sees it too.
+        // A connection error affects only its client, which sees it as well.
         drop(connection.await);
         drop(permit);
     });
--- a/ragwortwick-http/src/write_timeout.rs
+++ b/ragwortwick-http/src/write_timeout.rs
@@ -1,4 +1,4 @@
-//! A socket that fails once its other end has taken no byte for too long.
+//! A socket whose writes time out when the peer stops reading.
 
 use std::io;
 use std::pin::Pin;
@@ -9,38 +9,41 @@
 use tokio::net::TcpStream;
 use tokio::time::{Sleep, sleep};
 
-/// `WriteTimeoutStream` ends a connection whose caller has stopped reading.
+/// `WriteTimeoutStream` fails a connection whose client has stopped reading.
 ///
-/// Such a caller holds its answer, its connection and, at a planned stop, the whole process for as
-/// long as it likes. Each byte that it takes starts the time anew, so slow callers are served.
+/// Such a client would hold its response, its connection and, during a graceful shutdown, the whole process
+/// indefinitely. Each byte that it reads restarts the timeout, so slow clients are still served.
 #[derive(Debug)]
 pub(crate) struct WriteTimeoutStream {
     socket: TcpStream,
-    limit: Duration,
-    stalled: Option<Pin<Box<Sleep>>>,
+    timeout: Duration,
+    /// Pending while a write makes no progress.
+    deadline: Option<Pin<Box<Sleep>>>,
 }
 
 impl WriteTimeoutStream {
-    pub(crate) fn new(socket: TcpStream, limit: Duration) -> Self {
+    pub(crate) fn new(socket: TcpStream, timeout: Duration) -> Self {
         Self {
             socket,
-            limit,
-            stalled: None,
+            timeout,
+            deadline: None,
         }
     }
 
-    fn watch<T>(
+    fn check_deadline<T>(
         &mut self,
         context: &mut Context<'_>,
         written: Poll<io::Result<T>>,
     ) -> Poll<io::Result<T>> {
         if written.is_ready() {
-            self.stalled = None;
+            self.deadline = None;
             return written;
         }
-        let limit = self.limit;
-        let stalled = self.stalled.get_or_insert_with(|| Box::pin(sleep(limit)));
-        if stalled.as_mut().poll(context).is_ready() {
+        let timeout = self.timeout;
+        let deadline = self
+            .deadline
+            .get_or_insert_with(|| Box::pin(sleep(timeout)));
+        if deadline.as_mut().poll(context).is_ready() {
             return Poll::Ready(Err(io::ErrorKind::TimedOut.into()));
         }
         Poll::Pending
@@ -64,7 +67,7 @@
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.socket).poll_write(cx, buf);
-        self.watch(cx, written)
+        self.check_deadline(cx, written)
     }
 
     fn poll_write_vectored(
@@ -73,7 +76,7 @@
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.socket).poll_write_vectored(cx, bufs);
-        self.watch(cx, written)
+        self.check_deadline(cx, written)
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -82,11 +85,11 @@
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let flushed = Pin::new(&mut self.socket).poll_flush(cx);
-        self.watch(cx, flushed)
+        self.check_deadline(cx, flushed)
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let shut = Pin::new(&mut self.socket).poll_shutdown(cx);
-        self.watch(cx, shut)
+        self.check_deadline(cx, shut)
     }
 }
--- a/ragwortwick-http/tests/http_bounds.rs
+++ b/ragwortwick-http/tests/http_bounds.rs
@@ -1,4 +1,4 @@
-//! Checks the bounds of the server and what the client says of a failed request.
+//! Tests the server's limits and the client's classification of failed requests.
 
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
 async fn echo(state: &mut State) -> SimpleHandlerResult {
     Ok(match read_json::<Shape>(state, MAX_BODY_BYTES).await {
         Ok(shape) => json_response(state, StatusCode::OK, &shape),
-        Err(refusal) => refusal.into_response(state),
+        Err(error) => error.into_response(state),
     })
 }
 
@@ -42,7 +42,7 @@
     let server = server().await;
     let client = HttpClient::new(&HttpClientOptions::default());
     let address = server.address().to_string();
-    let reply = client
+    let response = client
         .send(
             http::Method::POST,
             &address,
@@ -51,11 +51,11 @@
             TIMEOUT_MS,
         )
         .await
-        .expect("the server answers");
-    let problem = serde_json::from_slice(&reply.body).expect("a problem in JSON");
+        .expect("the server responds");
+    let problem = serde_json::from_slice(&response.body).expect("a problem in JSON");
     drop(client);
     server.close().await;
-    (reply.status, problem)
+    (response.status, problem)
 }
 
 #[tokio::test]
@@ -81,7 +81,7 @@
 
 #[tokio::test]
 async fn verify_refused_connection_is_not_sent() {
-    // The caller is told "not sent": the port was free a moment ago and nobody listens on it now.
+    // The error has to be `NotSent`: the port was just released and no process listens on it.
     let listener = TcpListener::bind(ANY_PORT).await.expect("loopback binds");
     let address = listener.local_addr().expect("bound").to_string();
     drop(listener);
@@ -96,11 +96,11 @@
 
 #[tokio::test]
 async fn verify_answer_cut_in_the_middle_is_no_answer() {
-    // The caller must not take a truncated body for the whole answer: the other end promises 100
-    // bytes, sends 10 and closes; the length tells that the rest is missing.
+    // Guards against a truncated body that is taken for a complete response: the peer announces 100
+    // bytes, sends 10 and closes the connection; content-length shows that the rest is missing.
     let listener = TcpListener::bind(ANY_PORT).await.expect("loopback binds");
     let address = listener.local_addr().expect("bound").to_string();
-    let other_end = tokio::spawn(async move {
+    let peer = tokio::spawn(async move {
         let (mut socket, _) = listener.accept().await.expect("the client connects");
         let mut head = [0; 1_024];
         let _ = socket.read(&mut head).await.expect("a request arrives");
@@ -113,17 +113,17 @@
     let error = client
         .get::<Shape>(&address, "/", TIMEOUT_MS)
         .await
-        .expect_err("the answer is cut");
+        .expect_err("the response is truncated");
     assert!(matches!(error, HttpError::NoResponse { .. }), "{error}");
-    other_end.await.expect("the other end ended");
+    peer.await.expect("the peer task ended");
 }
 
 #[tokio::test]
 async fn verify_connection_that_is_closed_before_the_answer_is_told_from_silence() {
-    // A worker whose process has crashed is told by this from one whose path is cut.
+    // This distinguishes a worker whose process crashed from one behind a network partition.
     let listener = TcpListener::bind(ANY_PORT).await.expect("loopback binds");
     let address = listener.local_addr().expect("bound").to_string();
-    let other_end = tokio::spawn(async move {
+    let peer = tokio::spawn(async move {
         let (mut socket, _) = listener.accept().await.expect("the client connects");
         let mut head = [0; 1_024];
         let _ = socket.read(&mut head).await.expect("a request arrives");
@@ -132,32 +132,32 @@
     let error = client
         .get::<Shape>(&address, "/", TIMEOUT_MS)
         .await
-        .expect_err("there is no answer");
+        .expect_err("there is no response");
     assert!(error.may_have_arrived() && error.is_closed(), "{error}");
-    other_end.await.expect("the other end ended");
+    peer.await.expect("the peer task ended");
 }
 
-/// Answers one request with these bytes, and then keeps the connection open and says nothing more.
-async fn answers_and_falls_silent(bytes: &'static [u8]) -> (String, tokio::task::JoinHandle<()>) {
+/// Responds to one request with the given bytes, then keeps the connection open and sends nothing more.
+async fn respond_and_stall(bytes: &'static [u8]) -> (String, tokio::task::JoinHandle<()>) {
     let listener = TcpListener::bind(ANY_PORT).await.expect("loopback binds");
     let address = listener.local_addr().expect("bound").to_string();
-    let other_end = tokio::spawn(async move {
+    let peer = tokio::spawn(async move {
         let (mut socket, _) = listener.accept().await.expect("the client connects");
         let mut request = [0; 1_024];
         let _ = socket.read(&mut request).await.expect("a request arrives");
         socket.write_all(bytes).await.expect("the client reads");
-        // The client's end of the connection is the end of this one.
+        // Waits until the client closes the connection.
         let _ = socket.read(&mut request).await;
     });
-    (address, other_end)
+    (address, peer)
 }
 
 #[tokio::test]
 async fn verify_answer_that_falls_silent_is_no_answer() {
-    // A reader with time for a long answer must not spend all of it on a connection that went silent
-    // in the middle of one: it gives up after the pause and asks again on another.
-    let (address, other_end) =
-        answers_and_falls_silent(b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\n0123456789").await;
+    // Guards against a client with a long total timeout that spends all of it on a connection that stalls
+    // in the middle of a response: it has to fail after the idle timeout, so that it can retry.
+    let (address, peer) =
+        respond_and_stall(b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\n0123456789").await;
     let client = HttpClient::new(&HttpClientOptions::default());
     let limits = ResponseTimeouts {
         head_timeout_ms: TIMEOUT_MS,
@@ -167,19 +167,19 @@
     let error = client
         .send_with(http::Method::GET, &address, "/", &[], None, limits)
         .await
-        .expect_err("the answer stops");
+        .expect_err("the response stalls");
     assert!(matches!(error, HttpError::NoResponse { .. }), "{error}");
-    assert!(error.to_string().contains("nothing more came"), "{error}");
+    assert!(error.to_string().contains("no data received"), "{error}");
     assert!(!error.is_closed(), "{error}");
     drop(client);
-    other_end.await.expect("the other end ended");
+    peer.await.expect("the peer task ended");
 }
 
 #[tokio::test]
 async fn verify_answer_beyond_the_bound_is_told_apart() {
-    // Asked again, such an answer would be as long: the caller has to ask for something else.
-    let (address, other_end) =
-        answers_and_falls_silent(b"HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\n0123456789").await;
+    // A retry would get a response of the same size: the client has to make a different request.
+    let (address, peer) =
+        respond_and_stall(b"HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\n0123456789").await;
     let client = HttpClient::new(&HttpClientOptions {
         max_body_bytes: 9,
         ..HttpClientOptions::default()
@@ -187,16 +187,16 @@
     let error = client
         .get::<Shape>(&address, "/", TIMEOUT_MS)
         .await
-        .expect_err("the answer is too long");
+        .expect_err("the response is too large");
     assert!(matches!(error, HttpError::TooLarge { .. }), "{error}");
     drop(client);
-    other_end.await.expect("the other end ended");
+    peer.await.expect("the peer task ended");
 }
 
 #[tokio::test]
 async fn verify_half_sent_head_is_closed_by_the_server() {
-    // A caller that never finishes its request head would hold a connection for ever; the server
-    // closes it after the header timeout, seen here as the end of the stream.
+    // Guards against a client that never completes its request head and holds a connection forever: the
+    // server has to close it after the header timeout, which the client sees as the end of the stream.
     let options = ServerOptions {
         header_timeout_ms: DurationMs(100),
         ..ServerOptions::default()
@@ -213,15 +213,15 @@
         .expect("the head starts");
     let mut rest = Vec::new();
     let read = tokio::time::timeout(Duration::from_secs(60), socket.read_to_end(&mut rest));
-    // Either end of stream or reset: both mean that the server let go of the connection.
+    // End of stream and reset both mean that the server closed the connection.
     let _ = read.await.expect("the server closes the connection");
     server.close().await;
 }
 
 #[tokio::test]
 async fn verify_half_sent_body_is_refused_in_time() {
-    // The caller sees a 408 that names the body: it sent half of what its head announced, then
-    // nothing, and would have held its connection for good.
+    // Guards against a client that sends half of the announced body, then nothing, and holds its
+    // connection forever: the server has to respond with 408.
     let options = ServerOptions {
         body_timeout_ms: DurationMs(100),
         ..ServerOptions::default()
@@ -229,24 +229,24 @@
     let server = Server::bind(ANY_PORT, router(), options)
         .await
         .expect("loopback binds");
-    let mut caller = TcpStream::connect(server.address())
+    let mut client = TcpStream::connect(server.address())
         .await
         .expect("it listens");
     let half = b"POST /echo HTTP/1.1\r\nhost: x\r\ncontent-length: 20\r\n\r\n{\"cells";
-    caller.write_all(half).await.expect("sent");
-    let mut answer = [0; 12];
-    let read = caller.read_exact(&mut answer);
+    client.write_all(half).await.expect("sent");
+    let mut status_line = [0; 12];
+    let read = client.read_exact(&mut status_line);
     let read = tokio::time::timeout(Duration::from_secs(20), read).await;
-    read.expect("the server answers").expect("an answer");
-    assert_eq!(&answer, b"HTTP/1.1 408");
-    drop(caller);
+    read.expect("the server responds").expect("a status line");
+    assert_eq!(&status_line, b"HTTP/1.1 408");
+    drop(client);
     server.close().await;
 }
 
 #[tokio::test]
 async fn verify_caller_that_stops_reading_does_not_hold_up_a_planned_stop() {
-    // The operator sees the server end. A caller asks for a large answer and takes nothing of it;
-    // without a bound the close would wait for this caller for good.
+    // Guards against a graceful shutdown that never finishes: a client requests a large response and reads
+    // nothing of it; without a write timeout, `close` would wait for it forever.
     let options = ServerOptions {
         write_timeout_ms: DurationMs(200),
         ..ServerOptions::default()
@@ -255,18 +255,18 @@
     let server = Server::bind(ANY_PORT, router, options)
         .await
         .expect("loopback binds");
-    let mut caller = TcpStream::connect(server.address())
+    let mut client = TcpStream::connect(server.address())
         .await
         .expect("it listens");
-    let ask = b"GET /large HTTP/1.1\r\nhost: x\r\n\r\n";
-    caller.write_all(ask).await.expect("sent");
-    caller.readable().await.expect("the answer has begun");
+    let request = b"GET /large HTTP/1.1\r\nhost: x\r\n\r\n";
+    client.write_all(request).await.expect("sent");
+    client.readable().await.expect("the response has begun");
     let closed = tokio::time::timeout(Duration::from_secs(20), server.close()).await;
-    closed.expect("the server ends");
-    drop(caller);
+    closed.expect("the server shuts down");
+    drop(client);
 }
 
-/// More than the buffers of both ends take.
+/// Responds with more than the socket buffers of both ends hold.
 async fn large(state: &mut State) -> SimpleHandlerResult {
     let text = "x".repeat(64 << 20);
     Ok(json_response(state, StatusCode::OK, &text))
