--- a/ragwortwick-area/src/advice.rs
+++ b/ragwortwick-area/src/advice.rs
@@ -1,7 +1,7 @@
-//! Advice on which workers may run a step, for queues whose policy only an outside advisor knows.
+//! Requests to an external advisor, for queues whose jobs may run only on the workers that it permits.
 //!
-//! Whether a worker may run a step never changes, but its ticket holds only for a while and for one
-//! life of the worker. Tickets are not recorded: a new coordinator asks again.
+//! Whether a worker may run a step never changes, but its ticket is valid only for a limited time and for one
+//! incarnation of the worker. Tickets are not stored: a new coordinator requests them again.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,36 +15,36 @@
 use crate::messages::{Action, AdviceReply};
 use crate::packing::{Slot, rack_ranges};
 
-/// Most workers in one question; the users' objective allows for one question about so many a step.
-const MOST_ASKED: usize = 30;
+/// Most workers in one request; the latency objective allows for one request about this many per step.
+const MAX_WORKERS_PER_REQUEST: usize = 30;
 
-/// Pause after a question without an answer; the advisor refuses when too many questions wait.
-const FAILED_PAUSE_MS: DurationMs = DurationMs(300);
+/// Pause after a failed request; the advisor rejects requests when too many are queued.
+const RETRY_PAUSE_MS: DurationMs = DurationMs(300);
 
-/// What is left of a ticket when work is placed by it: the record of the start is stored first, and
-/// an order waits up to 300 ms for those before it.
+/// Least remaining validity of a ticket at placement: the record of the start is stored first, and an order
+/// waits up to 300 ms for those before it.
 const TICKET_MARGIN_MS: DurationMs = DurationMs(600);
 
-/// The margin is no larger a part of a ticket's time than this, or a short one could never be used.
-const MARGIN_PART: u64 = 4;
+/// The margin is at most the validity divided by this, or tickets with a short validity could never be used.
+const MARGIN_DIVISOR: u64 = 4;
 
-/// `AdvisorState` is what the advisor told of the steps that wait.
+/// `AdvisorState` holds the advisor's replies about waiting steps, and the request in flight.
 #[derive(Debug, Default)]
 pub(crate) struct AdvisorState {
     steps: BTreeMap<StepId, StepAdvice>,
-    /// When the question was sent whose answer is awaited. The advisor takes one after the other from
-    /// a host, so a second one would only wait there, and be outdated when it is answered.
-    asked_at: Option<TimeMs>,
-    /// No question before then.
-    next_ask_at: TimeMs,
-    /// The question that a pass asks at its end.
-    wanted: Option<Question>,
+    /// When the request in flight was sent. The advisor processes the requests of a host one at a time, so
+    /// a second one would only be queued there, and be outdated by the time of its reply.
+    request_sent_at: Option<TimeMs>,
+    /// No request is sent before this time.
+    next_request_at: TimeMs,
+    /// The request that is sent at the end of the pass.
+    proposed: Option<AdviceRequest>,
 }
 
 #[derive(Debug)]
-struct Question {
-    /// When the step was last asked about.
-    last_at: Option<TimeMs>,
+struct AdviceRequest {
+    /// When the last request about the step was sent.
+    last_request_at: Option<TimeMs>,
     step: StepId,
     workers: Vec<WorkerName>,
     answer_ms: DurationMs,
@@ -52,84 +52,84 @@
 
 #[derive(Debug, Default)]
 struct StepAdvice {
-    /// When it was last asked about.
-    last_at: Option<TimeMs>,
-    /// Workers that may run the step.
+    /// When the last request about it was sent.
+    last_request_at: Option<TimeMs>,
+    /// Tickets of the workers that may run the step.
     tickets: BTreeMap<WorkerName, Ticket>,
-    /// Workers that may not.
+    /// Workers that may not run it.
     refused: BTreeSet<WorkerName>,
 }
 
 #[derive(Clone, Debug)]
 struct Ticket {
     text: Arc<str>,
-    until: TimeMs,
-    /// Work is placed by it only before then.
+    expires_at: TimeMs,
+    /// Work is placed with it only until this time.
     usable_until: TimeMs,
 }
 
-/// `MissingTicket` says that a start can't be sent: it needs a ticket, and there is none that holds.
+/// `MissingTicket` is the error for a start that needs a ticket while no valid one is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct MissingTicket;
 
 impl Ticket {
-    fn holds(&self, now: TimeMs) -> bool {
+    fn is_usable(&self, now: TimeMs) -> bool {
         now <= self.usable_until
     }
 }
 
 impl AdvisorState {
-    /// A worker did not take a ticket: it is worth nothing, however long it was to hold.
+    /// Discards a ticket that a worker rejected, whatever its remaining validity.
     pub(crate) fn discard_ticket(&mut self, worker: &WorkerName, task: &TaskId) {
         if let Some(step) = self.steps.get_mut(&task.step_id()) {
             step.tickets.remove(worker);
         }
     }
 
-    /// Drops what was told of a job that is over.
+    /// Removes the state of a job that has ended.
     pub(crate) fn remove_job(&mut self, job_id: &JobId) {
         self.steps.retain(|step, _| step.job_id != *job_id);
     }
 }
 
 impl Coordinator {
-    /// How the advisor of a candidate's queue answers; none if its jobs run on any worker.
-    pub(crate) fn advice_terms(&self, candidate: &Candidate) -> Option<&AdvisorTiming> {
+    /// Returns the timing of the advisor of a candidate's queue; `None` if its jobs may run on any worker.
+    pub(crate) fn advisor_timing(&self, candidate: &Candidate) -> Option<&AdvisorTiming> {
         let job = self.jobs.get(&candidate.job_id)?;
         self.queue_policy(job).advice.as_ref()
     }
 
-    /// The workers that a candidate may go to now; none if any is good.
+    /// Returns the workers for which the candidate has a usable ticket; `None` if it needs none.
     pub(crate) fn workers_with_ticket(
         &self,
         now: TimeMs,
         candidate: &Candidate,
     ) -> Option<BTreeSet<WorkerName>> {
-        self.allowed(candidate, |ticket| ticket.holds(now))
+        self.workers_with(candidate, |ticket| ticket.is_usable(now))
     }
 
-    /// The workers that may run a candidate, with a ticket that holds or a new one.
+    /// Returns the workers that may run the candidate, with a usable or a renewed ticket; `None` if any may.
     pub(crate) fn permitted_workers(&self, candidate: &Candidate) -> Option<BTreeSet<WorkerName>> {
-        self.allowed(candidate, |_| true)
+        self.workers_with(candidate, |_| true)
     }
 
-    fn allowed(
+    fn workers_with(
         &self,
         candidate: &Candidate,
-        counts: impl Fn(&Ticket) -> bool,
+        matches: impl Fn(&Ticket) -> bool,
     ) -> Option<BTreeSet<WorkerName>> {
-        self.advice_terms(candidate)?;
+        self.advisor_timing(candidate)?;
         let known = self.advice.steps.get(&candidate.step_id());
         let tickets = known.into_iter().flat_map(|step| &step.tickets);
         Some(
             tickets
-                .filter(|(_, ticket)| counts(ticket))
+                .filter(|(_, ticket)| matches(ticket))
                 .map(|(worker, _)| worker.clone())
                 .collect(),
         )
     }
 
-    /// The ticket for a start that is sent now; none if the queue needs none.
+    /// Returns the ticket for a start that is sent now; `None` if the queue has no advisor.
     pub(crate) fn ticket_for(
         &self,
         now: TimeMs,
@@ -143,25 +143,25 @@
         let step = self.advice.steps.get(&task.step_id());
         let ticket = step.and_then(|step| step.tickets.get(worker));
         match ticket {
-            Some(ticket) if now < ticket.until => Ok(Some(Arc::clone(&ticket.text))),
+            Some(ticket) if now < ticket.expires_at => Ok(Some(Arc::clone(&ticket.text))),
             _ => Err(MissingTicket),
         }
     }
 
-    /// Notes that a step found no place and could do with advice.
+    /// Proposes an advice request for a step that could not be placed.
     ///
-    /// Of all that do in a pass, the one is asked about that has waited longest for it: a step that
-    /// finds no place with any advice would else keep the advisor from all others.
+    /// Of all proposals in a pass, the one is sent whose step was least recently asked about. Otherwise a
+    /// step that fits nowhere, whatever the advisor replies, would block all other steps.
     pub(crate) fn propose_advice_request(
         &mut self,
         now: TimeMs,
         candidate: &Candidate,
         slots: &[Slot],
     ) {
-        let Some(terms) = self.advice_terms(candidate) else {
+        let Some(timing) = self.advisor_timing(candidate) else {
             return;
         };
-        if self.advice.asked_at.is_some() || now < self.advice.next_ask_at {
+        if self.advice.request_sent_at.is_some() || now < self.advice.next_request_at {
             return;
         }
         let job = self.jobs.get(&candidate.job_id);
@@ -170,40 +170,40 @@
         };
         let step = candidate.step_id();
         let known = self.advice.steps.get(&step);
-        let last_at = known.and_then(|known| known.last_at);
-        let wanted = self.advice.wanted.as_ref();
-        if wanted.is_some_and(|other| other.last_at <= last_at) {
+        let last_request_at = known.and_then(|known| known.last_request_at);
+        let proposed = self.advice.proposed.as_ref();
+        if proposed.is_some_and(|other| other.last_request_at <= last_request_at) {
             return;
         }
-        let workers = worth_asking(now, slots, spec, known, candidate.can_preempt());
+        let workers = workers_to_query(now, slots, spec, known, candidate.can_preempt());
         if workers.is_empty() {
             return;
         }
         let asked = workers.len() as u64;
-        self.advice.wanted = Some(Question {
-            last_at,
+        self.advice.proposed = Some(AdviceRequest {
+            last_request_at,
             step,
             workers,
-            answer_ms: DurationMs(terms.answer_ms.0 + terms.per_worker_ms.0 * asked),
+            answer_ms: DurationMs(timing.answer_ms.0 + timing.per_worker_ms.0 * asked),
         });
     }
 
-    /// Asks what the pass found to be most wanted.
+    /// Sends the request that was proposed in the pass.
     pub(crate) fn send_advice_request(&mut self, now: TimeMs) {
-        let Some(question) = self.advice.wanted.take() else {
+        let Some(request) = self.advice.proposed.take() else {
             return;
         };
-        self.advice.asked_at = Some(now);
-        let known = self.advice.steps.entry(question.step.clone());
-        known.or_default().last_at = Some(now);
+        self.advice.request_sent_at = Some(now);
+        let known = self.advice.steps.entry(request.step.clone());
+        known.or_default().last_request_at = Some(now);
         self.actions.push(Action::RequestAdvice {
-            step: question.step,
-            workers: question.workers,
-            answer_ms: question.answer_ms,
+            step: request.step,
+            workers: request.workers,
+            answer_ms: request.answer_ms,
         });
     }
 
-    /// Takes in an answer of the advisor.
+    /// Handles a reply of the advisor.
     pub(crate) fn on_advice_replied(
         &mut self,
         now: TimeMs,
@@ -211,27 +211,27 @@
         asked: Vec<WorkerName>,
         reply: AdviceReply,
     ) {
-        let asked_at = self.advice.asked_at.take().unwrap_or(now);
+        let sent_at = self.advice.request_sent_at.take().unwrap_or(now);
         let AdviceReply::Given { allowed, valid_ms } = reply else {
-            self.advice.next_ask_at = now + FAILED_PAUSE_MS;
+            self.advice.next_request_at = now + RETRY_PAUSE_MS;
             return;
         };
         let job = self.jobs.get(&step.job_id);
         let Some(job) = job.filter(|job| !job.phase.is_final()) else {
             return;
         };
-        let terms = self.queue_policy(job).advice.as_ref();
-        let valid_ms = valid_ms.or(terms.map(|terms| terms.valid_ms));
+        let timing = self.queue_policy(job).advice.as_ref();
+        let valid_ms = valid_ms.or(timing.map(|timing| timing.valid_ms));
         let valid_ms = valid_ms.unwrap_or_default();
-        let margin_ms = TICKET_MARGIN_MS.min(DurationMs(valid_ms.0 / MARGIN_PART));
-        // The ticket may be as old as the question.
-        let until = asked_at + valid_ms;
-        let usable_until = until - margin_ms;
+        let margin_ms = TICKET_MARGIN_MS.min(DurationMs(valid_ms.0 / MARGIN_DIVISOR));
+        // The ticket may have been issued as early as the request was sent.
+        let expires_at = sent_at + valid_ms;
+        let usable_until = expires_at - margin_ms;
         let known = self.advice.steps.entry(step).or_default();
         for (worker, text) in allowed {
             let ticket = Ticket {
                 text,
-                until,
+                expires_at,
                 usable_until,
             };
             known.tickets.insert(worker, ticket);
@@ -244,11 +244,11 @@
     }
 }
 
-/// Workers to ask about: those with room, the known ones with an outdated ticket first, then racks
-/// with the most room, so that a gang finds its places in few questions.
+/// Returns the workers to ask about: those where a task fits, first the ones with an expired ticket, then by
+/// rack, the one with the most free capacity first, so that a gang needs few requests.
 ///
-/// For work that may displace others, workers without room come last.
-fn worth_asking(
+/// For steps that may preempt others, workers without free capacity come last.
+fn workers_to_query(
     now: TimeMs,
     slots: &[Slot],
     spec: &StepSpec,
@@ -256,28 +256,28 @@
     can_preempt: bool,
 ) -> Vec<WorkerName> {
     let mut ranked = Vec::new();
-    for within in rack_ranges(slots) {
-        let neighbours = &slots[within];
-        let in_rack: u64 = neighbours.iter().map(|slot| slot.fits(spec)).sum();
-        for slot in neighbours {
-            let has_room = slot.fits(spec) > 0;
-            let is_candidate = slot.has_required_label(spec) && (has_room || can_preempt);
+    for range in rack_ranges(slots) {
+        let rack = &slots[range];
+        let free_in_rack: u64 = rack.iter().map(|slot| slot.fits(spec)).sum();
+        for slot in rack {
+            let has_capacity = slot.fits(spec) > 0;
+            let is_candidate = slot.has_required_label(spec) && (has_capacity || can_preempt);
             let ticket = known.and_then(|step| step.tickets.get(&slot.worker));
             let is_refused = known.is_some_and(|step| step.refused.contains(&slot.worker));
-            if !is_candidate || is_refused || ticket.is_some_and(|ticket| ticket.holds(now)) {
+            if !is_candidate || is_refused || ticket.is_some_and(|ticket| ticket.is_usable(now)) {
                 continue;
             }
             let rank = (
-                !has_room,
+                !has_capacity,
                 ticket.is_none(),
                 slot.is_remote(spec),
-                Reverse(in_rack),
+                Reverse(free_in_rack),
                 Reverse(slot.fits(spec)),
             );
             ranked.push((rank, slot.worker.clone()));
         }
     }
     ranked.sort();
-    ranked.truncate(MOST_ASKED);
+    ranked.truncate(MAX_WORKERS_PER_REQUEST);
     ranked.into_iter().map(|(_, worker)| worker).collect()
 }
--- a/ragwortwick-area/src/candidates.rs
+++ b/ragwortwick-area/src/candidates.rs
@@ -1,4 +1,4 @@
-//! What could start now, whose guarantee covers it, and in which order it is tried.
+//! Steps that could start now, the guarantees that cover them, and their placement order.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 use crate::coordinator::{Coordinator, Now};
 use crate::job::{JobRecord, StepId};
 
-/// `Candidate` is one step of one occurrence with tasks to place.
+/// `Candidate` is one step of one job occurrence that has tasks to place.
 #[derive(Clone, Debug)]
 pub(crate) struct Candidate {
     pub(crate) job_id: JobId,
@@ -17,14 +17,14 @@
     pub(crate) customer: CustomerName,
     pub(crate) priority: u32,
     pub(crate) due_at: TimeMs,
-    /// Whether the customer's guarantee covers it.
+    /// Whether the customer's guaranteed share covers it.
     pub(crate) is_guaranteed: bool,
-    /// When others were stopped for it, if that was a moment ago.
+    /// When other runs were preempted for it, if that was recently.
     pub(crate) preempted_at: Option<TimeMs>,
     pub(crate) value_density: f64,
-    /// Worth of the whole job if it is in time.
+    /// Value of the whole job if it meets its latency objective.
     pub(crate) value: f64,
-    /// Whether it can still be of any worth to its caller.
+    /// Whether its result would still have any value to the client.
     pub(crate) has_value_left: bool,
     pub(crate) can_meet_objective: bool,
 }
@@ -38,50 +38,52 @@
         }
     }
 
-    /// Whether others may be stopped for it: a promise, or an urgent answer that can still be in time.
+    /// Whether other runs may be preempted for it: it is guaranteed, or urgent and can still meet its
+    /// objective.
     pub(crate) fn can_preempt(&self) -> bool {
         self.is_guaranteed || (self.priority == 0 && self.can_meet_objective)
     }
 }
 
-/// `UrgentUsage` is what urgent work uses now, in accelerators.
+/// `UrgentUsage` is the number of accelerators that urgent runs use now.
 #[derive(Debug, Default)]
 pub(crate) struct UrgentUsage {
     pub(crate) by_customer: BTreeMap<CustomerName, u64>,
     pub(crate) by_pool: BTreeMap<PoolName, u64>,
 }
 
-/// How long a job that others were stopped for goes first: until the stops are over. What they free would
-/// else go to each later job that is worth more by the second, and the job would have others stopped again.
-const CLEARED_MS: DurationMs = DurationMs(1_500);
+/// How long a step for which others were preempted is placed first: until the stops are complete. Otherwise
+/// the freed capacity would go to any later job with a higher value density, and the step would preempt
+/// again.
+const PREEMPTED_FIRST_MS: DurationMs = DurationMs(1_500);
 
 impl Coordinator {
-    /// All steps that could start now.
+    /// Returns all steps that could start now.
     pub(crate) fn candidates(&mut self, now: Now, urgent_usage: &UrgentUsage) -> Vec<Candidate> {
         let mut found = Vec::new();
-        let mut next_due: Option<TimeMs> = None;
+        let mut next_scheduled_at: Option<TimeMs> = None;
         for job_id in &self.open_jobs {
             let Some(job) = self.jobs.get(job_id) else {
                 continue;
             };
             if let Some(until) = job.backoff.retry_at(now.steady) {
-                next_due = Some(next_due.map_or(until, |at| at.min(until)));
+                next_scheduled_at = Some(next_scheduled_at.map_or(until, |at| at.min(until)));
                 continue;
             }
-            let terms = self.queue_policy(job);
+            let policy = self.queue_policy(job);
             for occurrence in 0..job.record.occurrence_count() {
                 let due_at = due_at(now, &job.record, job.accepted_at, occurrence);
                 if due_at > now.steady {
-                    next_due = Some(next_due.map_or(due_at, |at| at.min(due_at)));
+                    next_scheduled_at = Some(next_scheduled_at.map_or(due_at, |at| at.min(due_at)));
                     break;
                 }
                 let steps = &job.occurrences[occurrence as usize];
                 let mut occurrence_value = None;
-                for number in 0..u32::try_from(steps.len()).unwrap_or(u32::MAX) {
-                    let step = &steps[number as usize];
+                for step_number in 0..u32::try_from(steps.len()).unwrap_or(u32::MAX) {
+                    let step = &steps[step_number as usize];
                     let is_blocked = step.is_done() || step.is_gang_ending;
                     if is_blocked
-                        || !job.is_step_ready(occurrence, number)
+                        || !job.is_step_ready(occurrence, step_number)
                         || step.waiting_count() == 0
                     {
                         continue;
@@ -92,10 +94,10 @@
                     found.push(Candidate {
                         job_id: job_id.clone(),
                         occurrence,
-                        step: number,
-                        pool: terms.pool.clone(),
+                        step: step_number,
+                        pool: policy.pool.clone(),
                         customer: job.record.customer.clone(),
-                        priority: terms.priority,
+                        priority: policy.priority,
                         due_at,
                         is_guaranteed: false,
                         preempted_at: None,
@@ -107,9 +109,9 @@
                 }
             }
         }
-        self.next_scheduled_at = next_due;
+        self.next_scheduled_at = next_scheduled_at;
         self.preempted_for
-            .retain(|_, at| now.steady.since(*at) <= CLEARED_MS);
+            .retain(|_, at| now.steady.since(*at) <= PREEMPTED_FIRST_MS);
         for candidate in &mut found {
             candidate.preempted_at = self.preempted_for.get(&candidate.step_id()).copied();
         }
@@ -117,7 +119,7 @@
         found
     }
 
-    /// Marks urgent steps as guaranteed, oldest first, while their customer's share covers them.
+    /// Marks urgent steps as guaranteed, oldest first, while their customer's guaranteed share covers them.
     fn mark_guaranteed(&self, candidates: &mut [Candidate], urgent_usage: &UrgentUsage) {
         let mut used = urgent_usage.by_customer.clone();
         let mut order: Vec<usize> = (0..candidates.len())
@@ -132,9 +134,9 @@
             let Some(need) = self.pending_accelerators(candidate) else {
                 continue;
             };
-            let taken = used.entry(candidate.customer.clone()).or_insert(0);
-            if *taken + need <= customer.guaranteed_accelerators {
-                *taken += need;
+            let covered = used.entry(candidate.customer.clone()).or_insert(0);
+            if *covered + need <= customer.guaranteed_accelerators {
+                *covered += need;
                 candidate.is_guaranteed = true;
             }
         }
@@ -151,11 +153,11 @@
     pub(crate) fn urgent_usage(&self) -> UrgentUsage {
         let mut used = UrgentUsage::default();
         for worker in self.workers.values() {
-            for (task, held) in &worker.allocations {
-                if held.priority != 0 || held.is_stopping() {
+            for (task, allocation) in &worker.allocations {
+                if allocation.priority != 0 || allocation.is_stopping() {
                     continue;
                 }
-                let accelerators = held.resources.accelerators;
+                let accelerators = allocation.resources.accelerators;
                 *used.by_pool.entry(worker.entry.pool.clone()).or_insert(0) += accelerators;
                 if let Some(job) = self.jobs.get(&task.job_id) {
                     let customer = job.record.customer.clone();
@@ -179,13 +181,14 @@
     }
 }
 
-/// What others were stopped for first; then guaranteed work, oldest first; then by worth over the
+/// Sorts steps for which others were preempted first, then guaranteed steps, oldest first, then by value per
 /// accelerator time still needed.
 pub(crate) fn sort_candidates(candidates: &mut [Candidate]) {
     candidates.sort_by(|a, b| {
-        let cleared = |candidate: &Candidate| candidate.preempted_at.unwrap_or(TimeMs(u64::MAX));
-        cleared(a)
-            .cmp(&cleared(b))
+        let preempted_at =
+            |candidate: &Candidate| candidate.preempted_at.unwrap_or(TimeMs(u64::MAX));
+        preempted_at(a)
+            .cmp(&preempted_at(b))
             .then_with(|| b.is_guaranteed.cmp(&a.is_guaranteed))
             .then_with(|| {
                 if a.is_guaranteed {
--- a/ragwortwick-area/src/colocation.rs
+++ b/ragwortwick-area/src/colocation.rs
@@ -1,8 +1,8 @@
-//! Workers that serve users and run fillers beside: fillers are slowed down before users feel them.
+//! Workers that run fillers beside latency-sensitive tasks: fillers are throttled before users notice them.
 //!
-//! Fillers use what serving tasks leave unused, and disturb them by amounts that differ by image and
-//! change within seconds. Nothing but the tail latency that the worker tells shows how much, so the
-//! pace of fillers follows it: quickly down, slowly up.
+//! Fillers use processor time that serving tasks leave unused, and interfere with them by amounts that depend
+//! on the image and change within seconds. Only the tail latency that the worker reports shows the
+//! interference, so the pace of fillers follows it: fast down, slowly up.
 
 use std::sync::Arc;
 
@@ -14,41 +14,42 @@
 use crate::messages::Action;
 use crate::worker::Worker;
 
-/// Pace of fillers that come to a worker which serves, until its tail latency shows more.
-const FIRST_PERCENT: u32 = 20;
+/// Initial pace of fillers beside a serving task, until the tail latency allows or requires another.
+const INITIAL_PACE_PERCENT: u32 = 20;
 
-/// Share of the target, in per cent, from which fillers go down to a quarter.
-const OVER_PERCENT: u32 = 100;
+/// Tail latency, in per cent of the target, from which the pace is reduced to a quarter.
+const OVER_TARGET_PERCENT: u32 = 100;
 
-/// Share of the target from which they go down to seven tenths.
-const NEAR_PERCENT: u32 = 85;
+/// Tail latency, in per cent of the target, from which the pace is reduced to seven tenths.
+const NEAR_TARGET_PERCENT: u32 = 85;
 
-/// Share of the target below which they go up again.
-const CALM_PERCENT: u32 = 70;
+/// Tail latency, in per cent of the target, below which the pace is raised.
+const BELOW_TARGET_PERCENT: u32 = 70;
 
-/// Least pace that still is one; below it fillers stand still.
-const LEAST_PERCENT: u32 = 4;
+/// Lowest pace above zero; below it fillers are paused.
+const MIN_PACE_PERCENT: u32 = 4;
 
-/// Step upwards.
-const RAISE_PERCENT: u32 = 5;
+/// Amount by which the pace is raised.
+const RAISE_STEP_PERCENT: u32 = 5;
 
-/// Pause after a step down: the worker's figure covers half a second, and a pace holds from 0.1 s on.
+/// Least time from the last change to a reduction: the reported latency covers the last half second, and a
+/// pace takes effect after 0.1 s.
 const LOWER_PAUSE_MS: DurationMs = DurationMs(700);
 
-/// Pause before a step up; disturbances change within seconds.
+/// Least time from the last change to a raise; the interference changes within seconds.
 const RAISE_PAUSE_MS: DurationMs = DurationMs(1_000);
 
-/// `ColocationRole` is what a run is to others on its worker.
+/// `ColocationRole` is how a run shares its worker with other runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ColocationRole {
-    /// It has its own room.
+    /// It uses only its own allocation.
     Ordinary,
-    /// It serves users, who feel its tail latency.
+    /// It serves users, who are sensitive to its tail latency.
     Serving {
-        /// Bound of the tail latency.
+        /// Upper limit of the tail latency.
         target_ms: u64,
     },
-    /// It uses what others leave.
+    /// It uses only processor time that others leave unused.
     Filler,
 }
 
@@ -65,16 +66,16 @@
 }
 
 impl Worker {
-    /// The highest tail latency of what serves here, in per cent of its target; none if nothing does.
-    fn tightest_percent(&self) -> Option<u32> {
+    /// Returns the highest tail latency of the serving runs, in per cent of its target, if there are any.
+    fn highest_latency_percent(&self) -> Option<u32> {
         let serving = self
             .allocations
             .values()
-            .filter_map(|held| match held.role {
+            .filter_map(|allocation| match allocation.role {
                 ColocationRole::Serving { target_ms }
-                    if matches!(held.phase, AllocationPhase::Running { .. }) =>
+                    if matches!(allocation.phase, AllocationPhase::Running { .. }) =>
                 {
-                    let percent = u64::from(held.load) * 100 / target_ms;
+                    let percent = u64::from(allocation.load) * 100 / target_ms;
                     Some(u32::try_from(percent).unwrap_or(u32::MAX))
                 }
                 _ => None,
@@ -85,44 +86,52 @@
     fn has_fillers(&self) -> bool {
         self.allocations
             .values()
-            .any(|held| held.role == ColocationRole::Filler)
+            .any(|allocation| allocation.role == ColocationRole::Filler)
     }
 
-    /// Whether tasks that serve and fillers are here together, so that looks must be frequent.
+    /// Whether serving runs and fillers share this worker, so that it has to be polled frequently.
     pub(crate) fn has_colocated_fillers(&self) -> bool {
         let serves = |role| matches!(role, ColocationRole::Serving { .. });
-        self.has_fillers() && self.allocations.values().any(|held| serves(held.role))
+        self.has_fillers()
+            && self
+                .allocations
+                .values()
+                .any(|allocation| serves(allocation.role))
     }
 
-    fn adjust_fillers(&mut self, now: TimeMs) {
-        let Some(tight) = self.tightest_percent() else {
+    fn adjust_filler_pace(&mut self, now: TimeMs) {
+        let Some(latency_percent) = self.highest_latency_percent() else {
             self.filler_pace_percent = 100;
             self.pace_changed_at = None;
             return;
         };
         let Some(pace_changed_at) = self.pace_changed_at else {
-            self.filler_pace_percent = FIRST_PERCENT;
+            self.filler_pace_percent = INITIAL_PACE_PERCENT;
             self.pace_changed_at = Some(now);
             return;
         };
         let since_ms = now.since(pace_changed_at);
-        let wanted = match tight {
-            OVER_PERCENT.. if since_ms >= LOWER_PAUSE_MS => self.filler_pace_percent / 4,
-            NEAR_PERCENT..OVER_PERCENT if since_ms >= LOWER_PAUSE_MS => {
+        let new_percent = match latency_percent {
+            OVER_TARGET_PERCENT.. if since_ms >= LOWER_PAUSE_MS => self.filler_pace_percent / 4,
+            NEAR_TARGET_PERCENT..OVER_TARGET_PERCENT if since_ms >= LOWER_PAUSE_MS => {
                 self.filler_pace_percent * 7 / 10
             }
-            ..CALM_PERCENT if since_ms >= RAISE_PAUSE_MS => {
-                (self.filler_pace_percent + RAISE_PERCENT).min(100)
+            ..BELOW_TARGET_PERCENT if since_ms >= RAISE_PAUSE_MS => {
+                (self.filler_pace_percent + RAISE_STEP_PERCENT).min(100)
             }
             _ => return,
         };
-        self.filler_pace_percent = if wanted < LEAST_PERCENT { 0 } else { wanted };
+        self.filler_pace_percent = if new_percent < MIN_PACE_PERCENT {
+            0
+        } else {
+            new_percent
+        };
         self.pace_changed_at = Some(now);
     }
 }
 
 impl Coordinator {
-    /// Sets the pace of a worker's fillers by what it has just told.
+    /// Sets the pace of a worker's fillers from its latest report.
     pub(crate) fn pace_fillers(&mut self, now: TimeMs, worker_name: &WorkerName) {
         let can_start_work = self.can_start_work(now);
         let Some(worker) = self.workers.get_mut(worker_name) else {
@@ -131,28 +140,28 @@
         if !worker.has_fillers() || !can_start_work {
             return;
         }
-        worker.adjust_fillers(now);
+        worker.adjust_filler_pace(now);
         let percent = worker.filler_pace_percent;
-        for (task, held) in &mut worker.allocations {
-            let is_running = matches!(held.phase, AllocationPhase::Running { .. });
-            if held.role != ColocationRole::Filler
+        for (task, allocation) in &mut worker.allocations {
+            let is_running = matches!(allocation.phase, AllocationPhase::Running { .. });
+            if allocation.role != ColocationRole::Filler
                 || !is_running
-                || held.confirmed_pace_percent == Some(percent)
+                || allocation.confirmed_pace_percent == Some(percent)
             {
                 continue;
             }
-            held.confirmed_pace_percent = Some(percent);
+            allocation.confirmed_pace_percent = Some(percent);
             self.actions.push(Action::SetPace {
                 worker: worker_name.clone(),
                 address: Arc::clone(&worker.entry.address),
                 task: task.clone(),
-                run: held.run,
+                run: allocation.run,
                 percent,
             });
         }
     }
 
-    /// A pace may not have arrived; the next look tells it again.
+    /// Handles a pace order that may not have arrived; it is sent again after the next poll.
     pub(crate) fn on_pace_failed(
         &mut self,
         worker_name: &WorkerName,
@@ -160,9 +169,9 @@
         run: u32,
     ) {
         let worker = self.workers.get_mut(worker_name);
-        let held = worker.and_then(|worker| worker.allocations.get_mut(task));
-        if let Some(held) = held.filter(|held| held.run == run) {
-            held.confirmed_pace_percent = None;
+        let allocation = worker.and_then(|worker| worker.allocations.get_mut(task));
+        if let Some(allocation) = allocation.filter(|allocation| allocation.run == run) {
+            allocation.confirmed_pace_percent = None;
         }
     }
 }
--- a/ragwortwick-area/src/headroom.rs
+++ b/ragwortwick-area/src/headroom.rs
@@ -1,9 +1,9 @@
-//! Racks that are left to urgent work and to work that a stop costs next to nothing.
+//! Racks set aside as headroom for urgent work and for work that is cheap to stop.
 //!
-//! Answers the load in which urgent gangs come in a stream while everything together wants more than
-//! there is. Without headroom each gap is filled at once and the next urgent gang has others stopped: it
-//! waits for that, and work that saves no checkpoints is begun over and over. Work that saves uses the
-//! headroom meanwhile, so it does not stand idle.
+//! This matters when urgent gangs keep arriving while total demand exceeds capacity. Without headroom, each
+//! gap is filled at once and the next urgent gang preempts other runs: it has to wait for the stops, and work
+//! that saves no checkpoints is restarted again and again. Work that saves checkpoints uses the headroom in
+//! the meantime, so that it is not idle.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -15,94 +15,97 @@
 use crate::packing::{PlacementConstraints, Slot, rack_ranges};
 use crate::pool_capacity::PoolCapacity;
 
-/// How many times the recent peak of urgent demand is left. A gang takes whole workers, often of one rack,
-/// so only a part of what is free is of use to it.
+/// Headroom as a multiple of the recent peak of urgent demand. A gang needs whole workers, often of one rack,
+/// so it can use only a part of the free capacity.
 const HEADROOM_PER_PEAK: f64 = 3.0;
 
-/// Most members of a gang that may use the headroom though it saves nothing. With few workers it is likely
-/// to end before one of them is wanted, and the single tasks in its place would be stopped first.
-const NARROW_GANG: u32 = 8;
+/// Largest gang that may use the headroom without saving checkpoints. On few workers it is likely to end
+/// before urgent work needs one of them, and single tasks in its place would be stopped first.
+const MAX_NARROW_GANG: u32 = 8;
 
-/// How long a peak of urgent demand is remembered: it counts for a third after this.
+/// Decay time of the peak of urgent demand: it counts for about a third after this time.
 const PEAK_DECAY_MS: DurationMs = DurationMs(10_000);
 
-/// `UrgentDemandPeak` is the recent peak of what urgent work uses and waits for, in accelerators.
+/// `UrgentDemandPeak` is the decaying peak of the accelerators that urgent work uses and waits for.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct UrgentDemandPeak {
     accelerators: f64,
-    at: TimeMs,
+    observed_at: TimeMs,
 }
 
 impl UrgentDemandPeak {
-    /// Takes in the present demand; gives the peak.
+    /// Applies the present demand and returns the peak.
     fn observe(&mut self, now: TimeMs, demand: u64) -> f64 {
-        let spans = as_float(now.since(self.at).0) / as_float(PEAK_DECAY_MS.0);
-        self.accelerators = (self.accelerators * (-spans).exp()).max(as_float(demand));
-        self.at = now;
+        let decay_times = to_f64(now.since(self.observed_at).0) / to_f64(PEAK_DECAY_MS.0);
+        self.accelerators = (self.accelerators * (-decay_times).exp()).max(to_f64(demand));
+        self.observed_at = now;
         self.accelerators
     }
 }
 
 impl Coordinator {
-    /// Marks the racks of a pool that are headroom in this pass, `used` accelerators being in urgent use.
+    /// Marks the racks of a pool that are headroom in this pass; urgent runs use `used` accelerators.
     pub(crate) fn mark_headroom(
         &mut self,
         now: TimeMs,
         pool: &PoolName,
         candidates: &[&Candidate],
         used: u64,
-        room: &mut PoolCapacity,
+        capacity: &mut PoolCapacity,
     ) {
         let waiting = candidates.iter().filter(|c| c.can_preempt());
         let waiting: u64 = waiting.filter_map(|c| self.pending_accelerators(c)).sum();
         let peak = self.urgent_peaks.entry(pool.clone()).or_default();
-        mark(
-            &mut room.slots,
+        mark_racks(
+            &mut capacity.slots,
             peak.observe(now, waiting + used) * HEADROOM_PER_PEAK,
         );
     }
 }
 
-/// Which workers a step's tasks may go to, and rather go to, by its queue and kind.
+/// Returns the placement constraints and preferences of a step, by its queue and kind.
 pub(crate) fn constraints_for(
     candidate: &Candidate,
     spec: &StepSpec,
-    room: &PoolCapacity,
+    capacity: &PoolCapacity,
 ) -> PlacementConstraints {
     PlacementConstraints {
         prefers_fast: candidate.priority == 0,
-        avoids_headroom: is_spared_by(candidate, spec, room),
+        avoids_headroom: must_avoid_headroom(candidate, spec, capacity),
         ..PlacementConstraints::default()
     }
 }
 
-/// Whether a step's tasks keep out of the headroom: their stop would throw their work away. While most of
-/// the pool is idle nobody needs it.
-fn is_spared_by(candidate: &Candidate, spec: &StepSpec, room: &PoolCapacity) -> bool {
-    let is_narrow_gang = spec.is_gang && spec.count <= NARROW_GANG;
-    candidate.priority > 0 && !spec.saves_checkpoints && !is_narrow_gang && !room.is_mostly_idle()
+/// Whether a step's tasks may not use the headroom, because a stop would lose their work. While most of the
+/// pool is idle, no headroom is needed.
+fn must_avoid_headroom(candidate: &Candidate, spec: &StepSpec, capacity: &PoolCapacity) -> bool {
+    let is_narrow_gang = spec.is_gang && spec.count <= MAX_NARROW_GANG;
+    candidate.priority > 0
+        && !spec.saves_checkpoints
+        && !is_narrow_gang
+        && !capacity.is_mostly_idle()
 }
 
 /// Marks whole racks until they have the given number of accelerators.
 ///
-/// Which racks come first depends on their names alone, so that they stay the same from pass to pass and
-/// from one coordinator to the next, and lie in all zones.
-fn mark(slots: &mut [Slot], accelerators: f64) {
+/// The order of the racks depends on a hash of their names alone, so that it is the same in each pass and
+/// under each coordinator, and the headroom is spread over all zones.
+fn mark_racks(slots: &mut [Slot], accelerators: f64) {
     let mut ranges: Vec<_> = rack_ranges(slots).collect();
-    ranges.sort_by_cached_key(|range| order_of(&slots[range.start]));
-    let mut left = accelerators;
+    ranges.sort_by_cached_key(|range| rack_hash(&slots[range.start]));
+    let mut remaining = accelerators;
     for range in ranges {
-        if left <= 0.0 {
+        if remaining <= 0.0 {
             return;
         }
         for slot in &mut slots[range] {
             slot.is_headroom = true;
-            left -= as_float(slot.capacity_accelerators);
+            remaining -= to_f64(slot.capacity_accelerators);
         }
     }
 }
 
-fn order_of(slot: &Slot) -> u64 {
+fn rack_hash(slot: &Slot) -> u64 {
     let mut hasher = DefaultHasher::new();
     slot.rack.as_str().hash(&mut hasher);
     hasher.finish()
@@ -110,8 +113,8 @@
 
 #[expect(
     clippy::cast_precision_loss,
-    reason = "accelerators of an area and spans in milliseconds are exact in a float"
+    reason = "accelerators of an area and durations in milliseconds are exact in a float"
 )]
-fn as_float(number: u64) -> f64 {
+fn to_f64(number: u64) -> f64 {
     number as f64
 }
--- a/ragwortwick-area/src/packing.rs
+++ b/ragwortwick-area/src/packing.rs
@@ -1,4 +1,4 @@
-//! Where tasks go: best fit, whole racks for gangs that want one, data near its rack.
+//! Bin packing: best fit, a single rack for gangs that want one, and locality to a step's data.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
@@ -9,33 +9,33 @@
 use crate::job::{Resources, StepSpec};
 use crate::speed::Speed;
 
-/// `Slot` is what a worker has left during one pass of placement.
+/// `Slot` is a worker's free capacity during one placement pass.
 #[derive(Clone, Debug)]
 pub(crate) struct Slot {
     pub(crate) worker: WorkerName,
     pub(crate) rack: RackName,
-    /// Number of the rack in the pool: slots lie sorted by it, and numbers compare faster than names.
+    /// Number of the rack in the pool: slots are sorted by it, and numbers compare faster than names.
     pub(crate) rack_number: u32,
     pub(crate) labels: Arc<[LabelName]>,
     pub(crate) free: Resources,
-    /// What has to end before anything is free: the worker holds more than it has.
+    /// Resources allocated beyond the worker's capacity; they have to be released before anything is free.
     pub(crate) overcommitted: Resources,
-    /// Accelerators of the worker in all.
+    /// Total accelerators of the worker.
     pub(crate) capacity_accelerators: u64,
-    /// Evidence against the worker; slots with less of it are taken first.
+    /// Failed runs of different jobs in a row; slots with fewer of them are preferred.
     pub(crate) consecutive_failures: u32,
-    /// How fast the worker is.
+    /// Speed of the worker relative to others.
     pub(crate) speed: Speed,
-    /// Whether it is left to urgent work and to what is cheap to stop.
+    /// Whether it is headroom for urgent work, which only work that is cheap to stop may use.
     pub(crate) is_headroom: bool,
-    /// Whether nothing has begun there lately.
+    /// Whether no run was started there recently.
     pub(crate) has_no_recent_start: bool,
-    /// Whether nothing else begins there in this pass.
+    /// Whether no further task is placed there in this pass.
     pub(crate) is_closed: bool,
 }
 
 impl Slot {
-    /// How many tasks it takes, whatever else binds.
+    /// Returns how many tasks fit by resources alone.
     pub(crate) fn fits(&self, spec: &StepSpec) -> u64 {
         if self.is_closed || !self.overcommitted.is_zero() {
             return 0;
@@ -45,19 +45,19 @@
             .min(u64::from(u32::MAX))
     }
 
-    /// Takes an amount out of what is free.
+    /// Subtracts an amount from the free resources.
     pub(crate) fn allocate(&mut self, amount: Resources) {
         self.free = self.free.saturating_sub(amount);
     }
 
-    /// Adds what is no longer held, as far as it was not in excess.
+    /// Adds released resources to the free ones, after they have covered the overcommitted amount.
     pub(crate) fn release(&mut self, amount: Resources) {
-        let paid = self.overcommitted.component_min(amount);
-        self.overcommitted = self.overcommitted.saturating_sub(paid);
-        self.free = self.free.plus(amount.saturating_sub(paid));
+        let covered = self.overcommitted.component_min(amount);
+        self.overcommitted = self.overcommitted.saturating_sub(covered);
+        self.free = self.free.plus(amount.saturating_sub(covered));
     }
 
-    /// The same worker with an amount held again that was given back.
+    /// Returns a copy of the slot in which a released amount is allocated again.
     pub(crate) fn with_reallocated(&self, amount: Resources) -> Self {
         Self {
             overcommitted: self.overcommitted.plus(amount.saturating_sub(self.free)),
@@ -66,33 +66,37 @@
         }
     }
 
-    /// Counts how many tasks of the step it takes within the bounds.
-    pub(crate) fn placeable_tasks(&self, spec: &StepSpec, bounds: &PlacementConstraints) -> u64 {
-        if !self.has_required_label(spec) || !bounds.permits(self) {
+    /// Returns how many tasks of the step fit under the constraints.
+    pub(crate) fn placeable_tasks(
+        &self,
+        spec: &StepSpec,
+        constraints: &PlacementConstraints,
+    ) -> u64 {
+        if !self.has_required_label(spec) || !constraints.permits(self) {
             return 0;
         }
         let fits = self.fits(spec);
         match spec.max_per_worker {
-            Some(most) => {
-                let taken = bounds
+            Some(limit) => {
+                let placed = constraints
                     .tasks_by_worker
                     .get(&self.worker)
                     .copied()
                     .unwrap_or(0);
-                fits.min(u64::from(most.saturating_sub(taken)))
+                fits.min(u64::from(limit.saturating_sub(placed)))
             }
             None => fits,
         }
     }
 
-    /// Whether the step's data is on another rack.
+    /// Whether the step's data is on a different rack.
     pub(crate) fn is_remote(&self, spec: &StepSpec) -> bool {
         spec.data_rack
             .as_ref()
             .is_some_and(|data| *data != self.rack)
     }
 
-    /// Whether it has the label that the step requires, if it requires one.
+    /// Whether the worker has the step's required label, if there is one.
     pub(crate) fn has_required_label(&self, spec: &StepSpec) -> bool {
         spec.required_label
             .as_ref()
@@ -100,47 +104,49 @@
     }
 }
 
-/// The slots of each rack, which lie together.
+/// Returns the range of slots of each rack, which are contiguous.
 pub(crate) fn rack_ranges(slots: &[Slot]) -> impl Iterator<Item = Range<usize>> {
     let mut first = 0;
     slots
         .chunk_by(|a, b| a.rack_number == b.rack_number)
         .map(move |rack| {
-            let within = first..first + rack.len();
-            first = within.end;
-            within
+            let range = first..first + rack.len();
+            first = range.end;
+            range
         })
 }
 
-/// `PlacementConstraints` says where a step's tasks may go, beside the room there.
+/// `PlacementConstraints` limits where a step's tasks may be placed, in addition to free capacity.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PlacementConstraints {
-    /// Tasks of the step that workers have already.
+    /// Number of the step's tasks already on each worker.
     pub(crate) tasks_by_worker: BTreeMap<WorkerName, u32>,
-    /// The only workers that may run the step; none if any may.
+    /// The only workers that may run the step; `None` if any may.
     pub(crate) allowed_workers: Option<BTreeSet<WorkerName>>,
-    /// Whether the step rather goes to fast workers; if not, it leaves them to others.
+    /// Whether fast workers are preferred; if not, they are left to other steps.
     pub(crate) prefers_fast: bool,
-    /// Whether the headroom is left to others.
+    /// Whether headroom slots are excluded.
     pub(crate) avoids_headroom: bool,
-    /// Whether the tasks go only where nothing has begun lately.
+    /// Whether only workers without a recent start are allowed.
     pub(crate) needs_isolated_start: bool,
 }
 
 impl PlacementConstraints {
-    /// Notes that one more task of the step goes to a worker.
+    /// Counts one more task of the step on a worker.
     pub(crate) fn count_task(&mut self, worker: &WorkerName) {
         *self.tasks_by_worker.entry(worker.clone()).or_insert(0) += 1;
     }
 
     fn permits(&self, slot: &Slot) -> bool {
-        let is_spared = self.avoids_headroom && slot.is_headroom;
+        let is_excluded_headroom = self.avoids_headroom && slot.is_headroom;
         let allowed = self.allowed_workers.as_ref();
-        let is_too_busy = self.needs_isolated_start && !slot.has_no_recent_start;
-        !is_spared && !is_too_busy && allowed.is_none_or(|allowed| allowed.contains(&slot.worker))
+        let lacks_isolation = self.needs_isolated_start && !slot.has_no_recent_start;
+        !is_excluded_headroom
+            && !lacks_isolation
+            && allowed.is_none_or(|allowed| allowed.contains(&slot.worker))
     }
 
-    /// Ranks a worker by its speed, the wanted ones first.
+    /// Ranks a worker's speed, the preferred one first.
     fn speed_rank(&self, speed: Speed) -> u8 {
         match speed {
             Speed::VerySlow => 2,
@@ -150,24 +156,24 @@
     }
 }
 
-/// `PlaceRank` orders places for a task, the best first.
+/// `SlotRank` orders slots for a task, the best first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct PlaceRank {
+struct SlotRank {
     is_remote: bool,
     consecutive_failures: u32,
     speed: u8,
-    /// What may use the headroom goes there first and leaves the rest to others.
+    /// Tasks that may use headroom use it first, to leave other slots to the rest.
     is_outside_headroom: bool,
     free_accelerators: u64,
     free_cpu_millis: u64,
 }
 
-impl PlaceRank {
-    fn of(slot: &Slot, spec: &StepSpec, bounds: &PlacementConstraints) -> Self {
+impl SlotRank {
+    fn of(slot: &Slot, spec: &StepSpec, constraints: &PlacementConstraints) -> Self {
         Self {
             is_remote: slot.is_remote(spec),
             consecutive_failures: slot.consecutive_failures,
-            speed: bounds.speed_rank(slot.speed),
+            speed: constraints.speed_rank(slot.speed),
             is_outside_headroom: !slot.is_headroom,
             free_accelerators: slot.free.accelerators,
             free_cpu_millis: slot.free.cpu_millis,
@@ -175,75 +181,75 @@
     }
 }
 
-/// `Locality` says how far from its best place work may go.
+/// `Locality` is how strictly tasks are placed near their data and each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Locality {
-    /// Only where it is not slowed down by distance.
+    /// Only where distance does not slow the tasks down.
     Required,
-    /// Anywhere.
+    /// On any rack.
     Relaxed,
 }
 
-/// `pack_gang` finds a slot for each of `count` members, or none at all.
+/// `pack_gang` returns a slot for each of `count` members, or `None` if not all of them fit.
 ///
-/// A gang that wants one rack gets the rack that it leaves the least of, so that other racks stay
-/// whole; on any other, one slow link would stretch the work of all members.
+/// A gang that wants a single rack gets the one with the least capacity left over, so that other racks stay
+/// whole. Across racks, one slow link would delay all members.
 pub(crate) fn pack_gang(
     slots: &[Slot],
     spec: &StepSpec,
     count: usize,
-    bounds: &PlacementConstraints,
-    reach: Locality,
+    constraints: &PlacementConstraints,
+    locality: Locality,
 ) -> Option<Vec<usize>> {
     if spec.wants_same_rack {
-        let in_rack = best_rack(slots, spec, count, bounds);
-        if in_rack.is_some() || reach == Locality::Required {
+        let in_rack = best_rack(slots, spec, count, constraints);
+        if in_rack.is_some() || locality == Locality::Required {
             return in_rack;
         }
     }
     let all: Vec<usize> = (0..slots.len()).collect();
-    fill(slots, &all, spec, count, bounds)
+    fill(slots, &all, spec, count, constraints)
 }
 
 fn best_rack(
     slots: &[Slot],
     spec: &StepSpec,
     count: usize,
-    bounds: &PlacementConstraints,
+    constraints: &PlacementConstraints,
 ) -> Option<Vec<usize>> {
-    let mut best: Option<(PlaceRank, Vec<usize>)> = None;
-    for within in rack_ranges(slots) {
-        let members: Vec<usize> = within.collect();
-        let Some(places) = fill(slots, &members, spec, count, bounds) else {
+    let mut best: Option<(SlotRank, Vec<usize>)> = None;
+    for range in rack_ranges(slots) {
+        let indexes: Vec<usize> = range.collect();
+        let Some(placements) = fill(slots, &indexes, spec, count, constraints) else {
             continue;
         };
-        let rank = rank_of_rack(slots, &members, &places, spec, bounds);
-        if best.as_ref().is_none_or(|(least, _)| rank < *least) {
-            best = Some((rank, places));
+        let rank = rank_of_rack(slots, &indexes, &placements, spec, constraints);
+        if best.as_ref().is_none_or(|(best_rank, _)| rank < *best_rank) {
+            best = Some((rank, placements));
         }
     }
-    best.map(|(_, places)| places)
+    best.map(|(_, placements)| placements)
 }
 
-/// A gang is as badly off as its worst member; of the rack counts what is free in all of it.
+/// Ranks a rack by the worst slot that the gang would get, and by the free capacity of the whole rack.
 fn rank_of_rack(
     slots: &[Slot],
-    members: &[usize],
-    places: &[usize],
+    indexes: &[usize],
+    placements: &[usize],
     spec: &StepSpec,
-    bounds: &PlacementConstraints,
-) -> PlaceRank {
-    let first = PlaceRank::of(&slots[members[0]], spec, bounds);
-    let taken = places.iter().map(|&index| &slots[index]);
-    let free = members.iter().map(|&index| slots[index].free.accelerators);
-    PlaceRank {
-        consecutive_failures: taken
+    constraints: &PlacementConstraints,
+) -> SlotRank {
+    let first = SlotRank::of(&slots[indexes[0]], spec, constraints);
+    let placed = placements.iter().map(|&index| &slots[index]);
+    let free = indexes.iter().map(|&index| slots[index].free.accelerators);
+    SlotRank {
+        consecutive_failures: placed
             .clone()
             .map(|slot| slot.consecutive_failures)
             .max()
             .unwrap_or(0),
-        speed: taken
-            .map(|slot| bounds.speed_rank(slot.speed))
+        speed: placed
+            .map(|slot| constraints.speed_rank(slot.speed))
             .max()
             .unwrap_or(0),
         free_accelerators: free.sum(),
@@ -252,57 +258,57 @@
     }
 }
 
-/// Fills the fullest slots first; what stays whole can take large tasks later.
+/// Fills the fullest slots first, so that large tasks still fit on the others later.
 fn fill(
     slots: &[Slot],
-    members: &[usize],
+    indexes: &[usize],
     spec: &StepSpec,
     count: usize,
-    bounds: &PlacementConstraints,
+    constraints: &PlacementConstraints,
 ) -> Option<Vec<usize>> {
-    let whole: u64 = members
+    let total: u64 = indexes
         .iter()
-        .map(|&index| slots[index].placeable_tasks(spec, bounds))
+        .map(|&index| slots[index].placeable_tasks(spec, constraints))
         .sum();
-    if whole < count as u64 {
+    if total < count as u64 {
         return None;
     }
-    let mut ranked: Vec<(PlaceRank, usize, u64)> = members
+    let mut ranked: Vec<(SlotRank, usize, u64)> = indexes
         .iter()
-        .map(|&index| (index, slots[index].placeable_tasks(spec, bounds)))
+        .map(|&index| (index, slots[index].placeable_tasks(spec, constraints)))
         .filter(|(_, fits)| *fits > 0)
-        .map(|(index, fits)| (PlaceRank::of(&slots[index], spec, bounds), index, fits))
+        .map(|(index, fits)| (SlotRank::of(&slots[index], spec, constraints), index, fits))
         .collect();
     ranked.sort_unstable();
-    let mut places = Vec::with_capacity(count);
+    let mut placements = Vec::with_capacity(count);
     for (_, index, fits) in ranked {
         for _ in 0..fits {
-            if places.len() == count {
-                return Some(places);
+            if placements.len() == count {
+                return Some(placements);
             }
-            places.push(index);
+            placements.push(index);
         }
     }
-    (places.len() == count).then_some(places)
+    (placements.len() == count).then_some(placements)
 }
 
-/// `pack_single` finds the best slot for one task.
+/// `pack_single` returns the best slot for one task.
 pub(crate) fn pack_single(
     slots: &[Slot],
     spec: &StepSpec,
-    bounds: &PlacementConstraints,
-    reach: Locality,
+    constraints: &PlacementConstraints,
+    locality: Locality,
 ) -> Option<usize> {
-    let mut best: Option<(PlaceRank, usize)> = None;
+    let mut best: Option<(SlotRank, usize)> = None;
     for (index, slot) in slots.iter().enumerate() {
-        if slot.placeable_tasks(spec, bounds) == 0 {
+        if slot.placeable_tasks(spec, constraints) == 0 {
             continue;
         }
-        let rank = PlaceRank::of(slot, spec, bounds);
-        if rank.is_remote && reach == Locality::Required {
+        let rank = SlotRank::of(slot, spec, constraints);
+        if rank.is_remote && locality == Locality::Required {
             continue;
         }
-        if best.as_ref().is_none_or(|(least, _)| rank < *least) {
+        if best.as_ref().is_none_or(|(best_rank, _)| rank < *best_rank) {
             best = Some((rank, index));
         }
     }
--- a/ragwortwick-area/src/placement.rs
+++ b/ragwortwick-area/src/placement.rs
@@ -1,4 +1,4 @@
-//! One pass of placement: who is next, and where it goes.
+//! One placement pass: which step is placed next, and on which workers.
 
 use std::collections::BTreeSet;
 
@@ -13,16 +13,17 @@
 use crate::pool_capacity::PoolCapacity;
 use crate::reservation::Reservations;
 
-/// How long before its bound a guaranteed job takes any place, also one where it runs slower.
-const RECLAIM_ANYWHERE_MS: DurationMs = DurationMs(1_000);
+/// How long before its start deadline a guaranteed job may be placed on any worker, even where it runs
+/// slower.
+const RELAX_LOCALITY_BEFORE_MS: DurationMs = DurationMs(1_000);
 
 impl Coordinator {
-    /// Places what can be placed, the most pressing work first.
+    /// Places all tasks that fit, the most urgent steps first.
     pub(crate) fn run_placement_pass(&mut self, now: Now) {
         if !self.can_start_work(now.steady) || !self.has_fresh_workers(now.steady) {
-            // A set time that has come stays in the past until a pass: asking to be woken at it would
-            // keep the thread busy without end. What is missing comes as an event, and that asks for
-            // the next pass.
+            // A scheduled time stays in the past until a pass has run: a wakeup at that time would make the
+            // thread spin. The missing lease or worker list arrives as an event, which requests the next
+            // pass.
             self.next_scheduled_at = None;
             return;
         }
@@ -32,79 +33,80 @@
         let mut reserved_workers = BTreeSet::new();
         let pools: BTreeSet<PoolName> = candidates.iter().map(|c| c.pool.clone()).collect();
         for pool in pools {
-            let mut room = self.pool_capacity(now.steady, &pool);
-            let of_pool: Vec<&Candidate> = candidates.iter().filter(|c| c.pool == pool).collect();
+            let mut capacity = self.pool_capacity(now.steady, &pool);
+            let in_pool: Vec<&Candidate> = candidates.iter().filter(|c| c.pool == pool).collect();
             let used = urgent_usage.by_pool.get(&pool).copied().unwrap_or(0);
-            self.mark_headroom(now.steady, &pool, &of_pool, used, &mut room);
+            self.mark_headroom(now.steady, &pool, &in_pool, used, &mut capacity);
             let (urgent, others): (Vec<_>, Vec<_>) =
-                of_pool.into_iter().partition(|c| c.can_preempt());
-            self.place_urgent(now.steady, &urgent, &mut room);
-            reserved_workers.extend(self.place_others(now.steady, &others, &mut room));
+                in_pool.into_iter().partition(|c| c.can_preempt());
+            self.place_urgent(now.steady, &urgent, &mut capacity);
+            reserved_workers.extend(self.place_non_preempting(now.steady, &others, &mut capacity));
         }
         self.reserved_workers = reserved_workers;
         self.send_advice_request(now.steady);
     }
 
-    /// Places work that nobody is stopped for, in its order; for gangs that find no place room is kept.
-    /// Gives the workers that it is kept on.
-    fn place_others(
+    /// Places steps that may not preempt, in order, and reserves capacity for gangs that do not fit.
+    /// Returns the workers with reserved capacity.
+    fn place_non_preempting(
         &mut self,
         now: TimeMs,
         others: &[&Candidate],
-        room: &mut PoolCapacity,
+        capacity: &mut PoolCapacity,
     ) -> BTreeSet<WorkerName> {
         let mut failed: Vec<(StepSpec, usize)> = Vec::new();
-        let mut keeping = Reservations::new(room.slots.len());
+        let mut reservations = Reservations::new(capacity.slots.len());
         for candidate in others {
-            if self.place_other(now, candidate, room, &mut failed) {
+            if self.try_place_step(now, candidate, capacity, &mut failed) {
                 continue;
             }
-            if self.release_reservation_for(now, candidate, &mut room.slots, &mut keeping) {
-                self.place_step(now, candidate, room);
-            } else if candidate.has_value_left && !room.is_mostly_idle() {
-                // With half of the pool idle, what finds no place has other reasons than small tasks.
-                self.reserve_for_gang(now, candidate, room, &mut keeping);
+            if self.release_reservation_for(now, candidate, &mut capacity.slots, &mut reservations)
+            {
+                self.place_step(now, candidate, capacity);
+            } else if candidate.has_value_left && !capacity.is_mostly_idle() {
+                // While half of the pool is idle, small tasks are not the reason why the gang does not fit.
+                self.reserve_for_gang(now, candidate, capacity, &mut reservations);
             }
         }
-        keeping.workers
+        reservations.workers
     }
 
-    /// Places what can be placed of a step; tells whether none of it is left.
-    fn place_other(
+    /// Places as many tasks of a step as fit; returns whether none is left.
+    fn try_place_step(
         &mut self,
         now: TimeMs,
         candidate: &Candidate,
-        room: &mut PoolCapacity,
+        capacity: &mut PoolCapacity,
         failed: &mut Vec<(StepSpec, usize)>,
     ) -> bool {
-        let Some(shape) = self.shape_of(candidate) else {
+        let Some(key) = self.placement_key_of(candidate) else {
             return true;
         };
-        if shape.0.need.accelerators > 0 && !room.has_free_accelerators() {
+        if key.0.need.accelerators > 0 && !capacity.has_free_accelerators() {
             return false;
         }
-        // What found no place a moment ago finds none now: the room only shrinks during a pass. It
-        // tells nothing of steps that may go to other workers.
-        let is_bound = shape.0.max_per_worker.is_some()
-            || self.advice_terms(candidate).is_some()
-            || self.has_lone_starts(candidate);
-        if !is_bound && failed.contains(&shape) {
+        // An equal step that did not fit earlier in this pass does not fit now, as the free capacity only
+        // shrinks during a pass. This does not hold for steps that are limited to certain workers.
+        let is_limited_to_workers = key.0.max_per_worker.is_some()
+            || self.advisor_timing(candidate).is_some()
+            || self.has_isolated_starts(candidate);
+        if !is_limited_to_workers && failed.contains(&key) {
             return false;
         }
-        if self.place_step(now, candidate, room) {
+        if self.place_step(now, candidate, capacity) {
             return true;
         }
-        self.propose_advice_request(now, candidate, &room.slots);
-        if !is_bound {
-            failed.push(shape);
+        self.propose_advice_request(now, candidate, &capacity.slots);
+        if !is_limited_to_workers {
+            failed.push(key);
         }
         false
     }
 
-    fn shape_of(&self, candidate: &Candidate) -> Option<(StepSpec, usize)> {
+    fn placement_key_of(&self, candidate: &Candidate) -> Option<(StepSpec, usize)> {
         let job = self.jobs.get(&candidate.job_id)?;
         let spec = job.spec(candidate.step)?;
-        // A single task that fits nowhere tells the same of its whole step.
+        // If one single task fits nowhere, no other task of its step does.
         let count = if spec.is_gang {
             job.step(candidate.occurrence, candidate.step)?
                 .waiting_count()
@@ -114,20 +116,20 @@
         Some((spec.placement_key(), count))
     }
 
-    /// Whether a task of the step is to start with nothing else.
-    fn has_lone_starts(&self, candidate: &Candidate) -> bool {
+    /// Whether a task of the step needs an isolated start.
+    fn has_isolated_starts(&self, candidate: &Candidate) -> bool {
         let job = self.jobs.get(&candidate.job_id);
         let step = job.and_then(|job| job.step(candidate.occurrence, candidate.step));
         let mut tasks = step.into_iter().flat_map(|step| &step.tasks);
         tasks.any(|task| task.crash_history.needs_isolation())
     }
 
-    /// Places the tasks of a step that wait; tells whether none is left.
+    /// Places the waiting tasks of a step; returns whether none is left.
     pub(crate) fn place_step(
         &mut self,
         now: TimeMs,
         candidate: &Candidate,
-        room: &mut PoolCapacity,
+        capacity: &mut PoolCapacity,
     ) -> bool {
         let Some(job) = self.jobs.get(&candidate.job_id) else {
             return true;
@@ -135,27 +137,27 @@
         let Some(spec) = job.spec(candidate.step).cloned() else {
             return true;
         };
-        let reach = if spec.is_long_running {
-            // Its users wait for it to be there at all; how near its data is matters less.
+        let locality = if spec.is_long_running {
+            // Its users need it to run at all; locality to its data matters less.
             Locality::Relaxed
         } else {
-            self.reach(now, candidate, room)
+            self.locality(now, candidate, capacity)
         };
-        let mut bounds = PlacementConstraints {
+        let mut constraints = PlacementConstraints {
             allowed_workers: self.workers_with_ticket(now, candidate),
-            ..headroom::constraints_for(candidate, &spec, room)
+            ..headroom::constraints_for(candidate, &spec, capacity)
         };
-        take_placed(&mut bounds, job, candidate);
+        count_placed_tasks(&mut constraints, job, candidate);
         if spec.is_gang {
-            return self.place_gang(now, candidate, &spec, &bounds, reach, room);
+            return self.place_gang(now, candidate, &spec, &constraints, locality, capacity);
         }
-        self.place_singles(now, candidate, &spec, bounds, reach, room)
+        self.place_singles(now, candidate, &spec, constraints, locality, capacity)
     }
 
-    fn reach(&self, now: TimeMs, candidate: &Candidate, room: &PoolCapacity) -> Locality {
-        let bound = candidate.due_at + self.limits.reclaim_ms - RECLAIM_ANYWHERE_MS;
-        let is_pressing = candidate.is_guaranteed && now >= bound;
-        if is_pressing || room.is_mostly_idle() {
+    fn locality(&self, now: TimeMs, candidate: &Candidate, capacity: &PoolCapacity) -> Locality {
+        let relax_at = candidate.due_at + self.limits.reclaim_ms - RELAX_LOCALITY_BEFORE_MS;
+        let is_near_deadline = candidate.is_guaranteed && now >= relax_at;
+        if is_near_deadline || capacity.is_mostly_idle() {
             Locality::Relaxed
         } else {
             Locality::Required
@@ -167,9 +169,9 @@
         now: TimeMs,
         candidate: &Candidate,
         spec: &StepSpec,
-        bounds: &PlacementConstraints,
-        reach: Locality,
-        room: &mut PoolCapacity,
+        constraints: &PlacementConstraints,
+        locality: Locality,
+        capacity: &mut PoolCapacity,
     ) -> bool {
         let Some(job) = self.jobs.get(&candidate.job_id) else {
             return true;
@@ -180,11 +182,12 @@
         let count = step.tasks.len();
         let run = step.tasks.iter().map(|task| task.last_run).max();
         let run = run.unwrap_or(0) + 1;
-        let Some(places) = pack_gang(&room.slots, spec, count, bounds, reach) else {
+        let Some(placements) = pack_gang(&capacity.slots, spec, count, constraints, locality)
+        else {
             return false;
         };
-        for (index, slot) in (0..).zip(places) {
-            self.put(now, candidate, index, slot, run, spec, room);
+        for (index, slot) in (0..).zip(placements) {
+            self.place_on_slot(now, candidate, index, slot, run, spec, capacity);
         }
         true
     }
@@ -194,9 +197,9 @@
         now: TimeMs,
         candidate: &Candidate,
         spec: &StepSpec,
-        mut bounds: PlacementConstraints,
-        reach: Locality,
-        room: &mut PoolCapacity,
+        mut constraints: PlacementConstraints,
+        locality: Locality,
+        capacity: &mut PoolCapacity,
     ) -> bool {
         let Some(step) = self
             .jobs
@@ -216,24 +219,24 @@
                 )
             })
             .collect();
-        // Those that start alone find fewer places, and must not hold up the others.
+        // Tasks that need an isolated start fit on fewer workers and must not block the others.
         waiting.sort_unstable();
-        for (starts_alone, index, run) in waiting {
-            bounds.needs_isolated_start = starts_alone;
-            let Some(slot) = pack_single(&room.slots, spec, &bounds, reach) else {
+        for (needs_isolation, index, run) in waiting {
+            constraints.needs_isolated_start = needs_isolation;
+            let Some(slot) = pack_single(&capacity.slots, spec, &constraints, locality) else {
                 return false;
             };
-            bounds.count_task(&room.slots[slot].worker);
-            self.put(now, candidate, index, slot, run, spec, room);
+            constraints.count_task(&capacity.slots[slot].worker);
+            self.place_on_slot(now, candidate, index, slot, run, spec, capacity);
         }
         true
     }
 
     #[expect(
         clippy::too_many_arguments,
-        reason = "one placement is made of just these parts"
+        reason = "each argument is one independent part of a placement"
     )]
-    fn put(
+    fn place_on_slot(
         &mut self,
         now: TimeMs,
         candidate: &Candidate,
@@ -241,30 +244,34 @@
         slot: usize,
         run: u32,
         spec: &StepSpec,
-        room: &mut PoolCapacity,
+        capacity: &mut PoolCapacity,
     ) {
         let Some(job) = self.jobs.get(&candidate.job_id) else {
             return;
         };
         let task = job.task_id(candidate.occurrence, candidate.step, index);
-        let worker = room.slots[slot].worker.clone();
-        room.allocate(slot, spec.demand());
+        let worker = capacity.slots[slot].worker.clone();
+        capacity.allocate(slot, spec.demand());
         if job
             .task(&task)
             .is_some_and(|state| state.crash_history.needs_isolation())
         {
-            room.close_slot(slot);
+            capacity.close_slot(slot);
         }
         self.place_run(now, &worker, &task, run, candidate.priority);
     }
 }
 
-/// Notes the tasks of the same step that workers have already, for the bound on one worker.
-fn take_placed(bounds: &mut PlacementConstraints, job: &JobState, candidate: &Candidate) {
+/// Counts the tasks of the step that are already placed, for its limit of tasks per worker.
+fn count_placed_tasks(
+    constraints: &mut PlacementConstraints,
+    job: &JobState,
+    candidate: &Candidate,
+) {
     let step = job.step(candidate.occurrence, candidate.step);
     for task in step.into_iter().flat_map(|step| &step.tasks) {
         if let TaskState::Placed(worker) = &task.state {
-            bounds.count_task(worker);
+            constraints.count_task(worker);
         }
     }
 }
--- a/ragwortwick-area/src/preemption.rs
+++ b/ragwortwick-area/src/preemption.rs
@@ -1,4 +1,4 @@
-//! Room for guaranteed work: which runs of others have to stop for it.
+//! Preemption: placing urgent and guaranteed steps by stopping other runs.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -13,67 +13,67 @@
 use crate::pool_capacity::PoolCapacity;
 use crate::preemption_plan::{PreemptionPlan, cheapest_plan, place_all};
 
-/// Work that a stop costs beside what it throws away: the run's room stands empty meanwhile.
-const RESTART_MS: u64 = 500;
+/// Time for which a stopped run's capacity is unused, which a stop costs in addition to the lost work.
+const RESTART_IDLE_MS: u64 = 500;
 
-/// Plans made in one pass; the next pass, milliseconds later, goes on from there.
-const MOST_PLANS: usize = 6;
+/// Preemption plans computed in one pass; the next pass, milliseconds later, continues.
+const MAX_PLANS_PER_PASS: usize = 6;
 
-/// `Group` is what has to stop together: one task, or all members of a gang.
+/// `PreemptionUnit` is what has to be stopped together: one task, or all members of a gang.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Group {
+pub(crate) struct PreemptionUnit {
     step: StepId,
-    /// The task of a step that is no gang.
+    /// Index of the task, if the step is not a gang.
     index: Option<u32>,
 }
 
-impl Group {
-    fn holds(&self, task: &TaskId) -> bool {
+impl PreemptionUnit {
+    fn contains(&self, task: &TaskId) -> bool {
         task.belongs_to(&self.step) && self.index.is_none_or(|index| index == task.index)
     }
 }
 
-/// `Victim` is a group that may be stopped.
+/// `Victim` is a unit that may be preempted.
 #[derive(Clone, Debug)]
 pub(crate) struct Victim {
-    group: Group,
+    unit: PreemptionUnit,
     priority: u32,
-    /// Core-seconds of work that a stop throws away.
+    /// Core-seconds of work that are lost by the stop.
     pub(crate) lost_work: f64,
-    /// The same with what the stop itself takes, by the weight of its callers: victims are chosen by it.
+    /// Lost work and restart time, weighted by the value of its priority; victims are chosen by it.
     pub(crate) cost: f64,
-    /// Workers that it runs on.
-    on: BTreeSet<WorkerName>,
-    /// What it frees, by the slot of the pass.
+    /// Workers that the unit runs on.
+    workers: BTreeSet<WorkerName>,
+    /// Resources that the stop frees, by slot index.
     pub(crate) freed: Vec<(usize, Resources)>,
     accelerators: u64,
 }
 
 impl Coordinator {
-    /// Places urgent work in its order; for what finds no place, room is kept and others are stopped.
+    /// Places urgent steps in order; for steps that do not fit, reserves capacity and preempts other runs.
     ///
-    /// Room is kept at once, before what comes later is placed: a wide gang that waits for its last
-    /// worker would else lose the others to every small job that comes in meanwhile.
+    /// Capacity is reserved before later steps are placed. Otherwise a wide gang that waits for its last
+    /// worker would lose the others to every small job that is submitted in the meantime.
     pub(crate) fn place_urgent(
         &mut self,
         now: TimeMs,
         urgent: &[&Candidate],
-        room: &mut PoolCapacity,
+        capacity: &mut PoolCapacity,
     ) {
         if urgent.is_empty() {
             return;
         }
-        // What is stopping already is as good as free.
-        let mut future = self.with_stopping_freed(&room.slots);
+        // Resources of runs that are already stopping count as free.
+        let mut after_stops = self.slots_after_stops(&capacity.slots);
         let value_per_core_second = self.value_per_core_second();
-        let mut plans_left = MOST_PLANS;
-        let slot_of = slots_by_worker(&room.slots);
+        let mut plans_left = MAX_PLANS_PER_PASS;
+        let slot_index = slots_by_worker(&capacity.slots);
         let mut victims: Option<Vec<Victim>> = None;
         let mut unplaced: Vec<(StepSpec, usize)> = Vec::new();
         for candidate in urgent {
-            let is_placed = self.place_step(now, candidate, room);
-            for (index, need) in room.allocations.drain(..) {
-                future[index].allocate(need);
+            let is_placed = self.place_step(now, candidate, capacity);
+            for (index, need) in capacity.allocations.drain(..) {
+                after_stops[index].allocate(need);
             }
             if is_placed {
                 continue;
@@ -81,55 +81,59 @@
             let Some((spec, count)) = self.waiting_tasks(candidate) else {
                 continue;
             };
-            self.propose_advice_request(now, candidate, &room.slots);
-            let bounds = PlacementConstraints {
+            self.propose_advice_request(now, candidate, &capacity.slots);
+            let constraints = PlacementConstraints {
                 allowed_workers: self.permitted_workers(candidate),
                 prefers_fast: true,
                 ..PlacementConstraints::default()
             };
-            let shape = (spec.placement_key(), count);
-            // What the advisor allows differs from step to step.
-            let is_hopeless = bounds.allowed_workers.is_none() && unplaced.contains(&shape);
-            if !is_hopeless && let Some(places) = place_all(&future, &spec, count, &bounds) {
-                reserve(&mut future, room, &places, spec.demand());
+            let key = (spec.placement_key(), count);
+            // Steps with an advisor are never skipped: the workers that it permits differ from step to step.
+            let is_known_not_to_fit =
+                constraints.allowed_workers.is_none() && unplaced.contains(&key);
+            if !is_known_not_to_fit
+                && let Some(placements) = place_all(&after_stops, &spec, count, &constraints)
+            {
+                reserve(&mut after_stops, capacity, &placements, spec.demand());
                 continue;
             }
-            if !is_hopeless {
-                unplaced.push(shape);
+            if !is_known_not_to_fit {
+                unplaced.push(key);
             }
-            // Each plan looks through whole racks; a pass on a small host has to stay short.
+            // Each plan scans whole racks; a pass on a small host has to stay short.
             if plans_left == 0 {
                 continue;
             }
             plans_left -= 1;
-            // Listing all that runs costs more than anything else in a pass.
-            let victims = victims.get_or_insert_with(|| self.displaceable(now, &slot_of));
-            let Some(plan) = plan_for(candidate, &future, &spec, count, &bounds, victims) else {
+            // Listing all runs is the most expensive part of a pass, so it is done only when needed.
+            let victims = victims.get_or_insert_with(|| self.preemptible(now, &slot_index));
+            let Some(plan) = plan_for(candidate, &after_stops, &spec, count, &constraints, victims)
+            else {
                 continue;
             };
-            // Others are stopped only if what the caller gains by an answer in time is worth more than
-            // what the room would have been used for. A bound that is the same for all would keep large
-            // urgent jobs waiting, which are worth many times as much.
+            // Other runs are preempted only if the value gained by meeting the objective exceeds the value of
+            // the work that is lost. A fixed limit for all jobs would keep large urgent jobs waiting, whose
+            // value is many times higher.
             let gain = candidate.value * (1.0 - self.limits.weights.late_share);
             if !candidate.is_guaranteed && plan.lost_work * value_per_core_second > gain {
                 continue;
             }
             self.preempted_for.entry(candidate.step_id()).or_insert(now);
             for victim in &plan.victims {
-                // It would go first in the next pass, into the very room that it gave up.
-                self.preempted_for.remove(&victim.group.step);
+                // Otherwise the victim would be placed first in the next pass, in the capacity just freed.
+                self.preempted_for.remove(&victim.unit.step);
                 self.stop_victim(now, victim, &candidate.job_id);
                 for &(index, need) in &victim.freed {
-                    future[index].release(need);
+                    after_stops[index].release(need);
                 }
             }
             victims.retain(|victim| {
-                let is_stopped = |other: &Victim| other.group == victim.group;
+                let is_stopped = |other: &Victim| other.unit == victim.unit;
                 !plan.victims.iter().any(is_stopped)
             });
-            // What stops frees more than this job needs, so others may find room after all.
+            // The stops may free more than this job needs, so steps that did not fit before may fit now.
             unplaced.clear();
-            reserve(&mut future, room, &plan.placements, spec.demand());
+            reserve(&mut after_stops, capacity, &plan.placements, spec.demand());
         }
     }
 
@@ -141,20 +145,23 @@
         Some((job.spec(candidate.step)?.clone(), count))
     }
 
-    /// All that may be stopped for guaranteed work: lower priorities and borrowed shares.
-    fn displaceable(&self, now: TimeMs, slot_of: &SlotOf) -> Vec<Victim> {
-        let lower = self.groups(now, slot_of, |held| held.priority > 0);
+    /// Returns all units that guaranteed work may preempt: those of lower priority and borrowed shares.
+    fn preemptible(&self, now: TimeMs, slot_index: &SlotIndex) -> Vec<Victim> {
+        let lower = self.units(now, slot_index, |allocation| allocation.priority > 0);
         let mut victims: Vec<Victim> = lower.into_iter().map(|(_, victim)| victim).collect();
-        victims.extend(self.borrowers(now, slot_of));
+        victims.extend(self.borrowers(now, slot_index));
         victims
     }
 
-    /// Urgent runs beyond their customer's share, youngest first: they go back to whoever is owed.
-    fn borrowers(&self, now: TimeMs, slot_of: &SlotOf) -> Vec<Victim> {
+    /// Urgent runs beyond their customer's guaranteed share, youngest first; guaranteed work may reclaim
+    /// them.
+    fn borrowers(&self, now: TimeMs, slot_index: &SlotIndex) -> Vec<Victim> {
         let mut by_customer: BTreeMap<CustomerName, Vec<(TimeMs, Victim)>> = BTreeMap::new();
-        for (placed_at, victim) in self.groups(now, slot_of, |held| held.priority == 0) {
-            let customer = self.jobs.get(&victim.group.step.job_id);
-            if let Some(customer) = customer.map(|job| job.record.customer.clone()) {
+        for (placed_at, victim) in
+            self.units(now, slot_index, |allocation| allocation.priority == 0)
+        {
+            let job = self.jobs.get(&victim.unit.step.job_id);
+            if let Some(customer) = job.map(|job| job.record.customer.clone()) {
                 by_customer
                     .entry(customer)
                     .or_default()
@@ -162,15 +169,15 @@
             }
         }
         let mut borrowers = Vec::new();
-        for (customer, mut groups) in by_customer {
+        for (customer, mut units) in by_customer {
             let share = self
                 .desired
                 .customers
                 .get(&customer)
-                .map_or(0, |known| known.guaranteed_accelerators);
-            let mut used: u64 = groups.iter().map(|(_, victim)| victim.accelerators).sum();
-            groups.sort_by_key(|(placed_at, _)| std::cmp::Reverse(*placed_at));
-            for (_, victim) in groups {
+                .map_or(0, |customer| customer.guaranteed_accelerators);
+            let mut used: u64 = units.iter().map(|(_, victim)| victim.accelerators).sum();
+            units.sort_by_key(|(placed_at, _)| std::cmp::Reverse(*placed_at));
+            for (_, victim) in units {
                 if used >= share + victim.accelerators {
                     used -= victim.accelerators;
                     borrowers.push(victim);
@@ -180,34 +187,34 @@
         borrowers
     }
 
-    fn with_stopping_freed(&self, slots: &[Slot]) -> Vec<Slot> {
-        let mut future = slots.to_vec();
-        for slot in &mut future {
+    fn slots_after_stops(&self, slots: &[Slot]) -> Vec<Slot> {
+        let mut after_stops = slots.to_vec();
+        for slot in &mut after_stops {
             let Some(worker) = self.workers.get(&slot.worker) else {
                 continue;
             };
-            for held in worker
+            for allocation in worker
                 .allocations
                 .values()
-                .filter(|held| held.is_stopping())
+                .filter(|allocation| allocation.is_stopping())
             {
-                slot.release(held.resources);
+                slot.release(allocation.resources);
             }
         }
-        future
+        after_stops
     }
 
-    /// What has to stop together, with when it was placed, of the runs that match.
-    fn groups(
+    /// Groups the matching runs into units, each with the time at which it was placed.
+    fn units(
         &self,
         now: TimeMs,
-        slot_of: &SlotOf,
+        slot_index: &SlotIndex,
         matches: impl Fn(&Allocation) -> bool,
     ) -> Vec<(TimeMs, Victim)> {
-        let mut groups: BTreeMap<Group, (TimeMs, Victim)> = BTreeMap::new();
+        let mut units: BTreeMap<PreemptionUnit, (TimeMs, Victim)> = BTreeMap::new();
         for (name, worker) in &self.workers {
-            for (task, held) in &worker.allocations {
-                if held.is_stopping() || !matches(held) {
+            for (task, allocation) in &worker.allocations {
+                if allocation.is_stopping() || !matches(allocation) {
                     continue;
                 }
                 let Some(spec) = self
@@ -217,52 +224,52 @@
                 else {
                     continue;
                 };
-                // Its callers bear only so many tasks away at once; it is not stopped for others.
+                // Only a limited number of these tasks may be missing at once, so they are not preempted.
                 if spec.may_miss.is_some() {
                     continue;
                 }
-                let since = held.started_at.unwrap_or(held.placed_at);
-                // A stop saves a checkpoint, so that only resuming from it takes time.
+                let since = allocation.started_at.unwrap_or(allocation.placed_at);
+                // A stop saves a checkpoint, so only the time to resume from it is lost.
                 let lost_ms = if spec.saves_checkpoints {
                     self.limits.restore_ms.0
                 } else {
                     now.since(since).0
                 };
-                let group = group_of(task, spec);
-                let (_, victim) = groups.entry(group.clone()).or_insert_with(|| {
+                let unit = unit_of(task, spec);
+                let (_, victim) = units.entry(unit.clone()).or_insert_with(|| {
                     let victim = Victim {
-                        group,
-                        priority: held.priority,
+                        unit,
+                        priority: allocation.priority,
                         lost_work: 0.0,
                         cost: 0.0,
-                        on: BTreeSet::new(),
+                        workers: BTreeSet::new(),
                         freed: Vec::new(),
                         accelerators: 0,
                     };
-                    (held.placed_at, victim)
+                    (allocation.placed_at, victim)
                 });
-                let weight = self.limits.weights.of_priority(held.priority);
-                victim.cost += weight * waste(spec.need, lost_ms + RESTART_MS);
-                victim.lost_work += waste(spec.need, lost_ms);
-                victim.on.insert(name.clone());
-                // Room on a worker that takes no work helps nobody.
-                if let Some(&index) = slot_of.get(name) {
-                    victim.freed.push((index, held.resources));
+                let weight = self.limits.weights.of_priority(allocation.priority);
+                victim.cost += weight * core_seconds(spec.need, lost_ms + RESTART_IDLE_MS);
+                victim.lost_work += core_seconds(spec.need, lost_ms);
+                victim.workers.insert(name.clone());
+                // A worker without a slot accepts no work, so capacity freed there does not count.
+                if let Some(&index) = slot_index.get(name) {
+                    victim.freed.push((index, allocation.resources));
                 }
-                victim.accelerators += held.resources.accelerators;
+                victim.accelerators += allocation.resources.accelerators;
             }
         }
-        groups.into_values().collect()
+        units.into_values().collect()
     }
 
-    fn stop_victim(&mut self, now: TimeMs, victim: &Victim, taker: &JobId) {
-        let group = &victim.group;
-        if let Some(job) = self.jobs.get_mut(&group.step.job_id) {
-            job.accounting.preempted_by = Some(taker.clone());
+    fn stop_victim(&mut self, now: TimeMs, victim: &Victim, preemptor: &JobId) {
+        let unit = &victim.unit;
+        if let Some(job) = self.jobs.get_mut(&unit.step.job_id) {
+            job.accounting.preempted_by = Some(preemptor.clone());
         }
-        for worker in &victim.on {
+        for worker in &victim.workers {
             self.stop_matching_on(now, worker, RunEndReason::Displaced, |task| {
-                group.holds(task)
+                unit.contains(task)
             });
         }
     }
@@ -270,43 +277,44 @@
 
 #[expect(
     clippy::cast_precision_loss,
-    reason = "amounts of work are far below what a float holds exactly"
+    reason = "amounts of work are far below the largest integer that a float holds exactly"
 )]
-fn waste(need: Resources, lost_ms: u64) -> f64 {
+fn core_seconds(need: Resources, lost_ms: u64) -> f64 {
     need.core_equivalents().max(1) as f64 * lost_ms as f64 / 1_000.0
 }
 
-fn group_of(task: &TaskId, spec: &StepSpec) -> Group {
-    Group {
+fn unit_of(task: &TaskId, spec: &StepSpec) -> PreemptionUnit {
+    PreemptionUnit {
         step: task.step_id(),
         index: (!spec.is_gang).then_some(task.index),
     }
 }
 
-/// The cheapest plan: anything may be stopped for a promise, lower priorities for other urgent work.
+/// Finds the cheapest plan: guaranteed steps may preempt any victim, other urgent steps only lower
+/// priorities.
 fn plan_for(
     candidate: &Candidate,
-    future: &[Slot],
+    after_stops: &[Slot],
     spec: &StepSpec,
     count: usize,
-    bounds: &PlacementConstraints,
+    constraints: &PlacementConstraints,
     victims: &[Victim],
 ) -> Option<PreemptionPlan> {
     if candidate.is_guaranteed {
-        return cheapest_plan(future, spec, count, bounds, victims);
+        return cheapest_plan(after_stops, spec, count, constraints, victims);
     }
     let lower: Vec<Victim> = victims
         .iter()
         .filter(|victim| victim.priority > candidate.priority)
         .cloned()
         .collect();
-    cheapest_plan(future, spec, count, bounds, &lower)
+    cheapest_plan(after_stops, spec, count, constraints, &lower)
 }
 
-/// Which slot of the pass is a worker's.
-type SlotOf = HashMap<WorkerName, usize>;
+/// Index of each worker's slot in the pass.
+type SlotIndex = HashMap<WorkerName, usize>;
 
-fn slots_by_worker(slots: &[Slot]) -> SlotOf {
+fn slots_by_worker(slots: &[Slot]) -> SlotIndex {
     let names = slots.iter().map(|slot| slot.worker.clone());
     names
         .enumerate()
@@ -314,10 +322,15 @@
         .collect()
 }
 
-/// Takes the places out of what later work may get, now and once the victims have stopped.
-fn reserve(future: &mut [Slot], room: &mut PoolCapacity, places: &[usize], need: Resources) {
-    for &index in places {
-        for slots in [&mut *future, &mut *room.slots] {
+/// Reserves the slots against later steps, both now and after the victims have stopped.
+fn reserve(
+    after_stops: &mut [Slot],
+    capacity: &mut PoolCapacity,
+    placements: &[usize],
+    need: Resources,
+) {
+    for &index in placements {
+        for slots in [&mut *after_stops, &mut *capacity.slots] {
             slots[index].allocate(need);
         }
     }
--- a/ragwortwick-area/src/preemption_plan.rs
+++ b/ragwortwick-area/src/preemption_plan.rs
@@ -1,8 +1,8 @@
-//! Which runs have to stop for a job: the set whose stop costs the least.
+//! Selection of the cheapest set of victims to preempt for a step.
 //!
-//! Answers the load in which small tasks of others lie on all workers when a gang of large ones is owed
-//! its room. Workers are cleared one at a time, the cheapest next: the cheapest runs of the whole pool lie
-//! on many workers, and stopping them gives none of those room.
+//! This matters when small tasks run on all workers and a gang of large tasks is guaranteed capacity. Workers
+//! are cleared one at a time, the cheapest next: the cheapest runs of the whole pool are spread over many
+//! workers, and stopping them would not free enough capacity on any of them.
 
 use std::ops::Range;
 
@@ -10,54 +10,54 @@
 use crate::packing::{Locality, PlacementConstraints, Slot, pack_gang, pack_single, rack_ranges};
 use crate::preemption::Victim;
 
-/// `PreemptionPlan` is a set of victims to stop and where the work then goes.
+/// `PreemptionPlan` is a set of victims to stop, and the slots that the tasks are then placed on.
 pub(crate) struct PreemptionPlan {
     pub(crate) victims: Vec<Victim>,
-    /// Slots of the pass.
+    /// Slot index for each task.
     pub(crate) placements: Vec<usize>,
     pub(crate) lost_work: f64,
     cost: f64,
 }
 
-/// Finds a slot for each task, all or none.
+/// Finds a slot for each task, or returns `None` if not all of them fit.
 pub(crate) fn place_all(
     slots: &[Slot],
     spec: &StepSpec,
     count: usize,
-    bounds: &PlacementConstraints,
+    constraints: &PlacementConstraints,
 ) -> Option<Vec<usize>> {
     if spec.is_gang {
-        return pack_gang(slots, spec, count, bounds, Locality::Required);
+        return pack_gang(slots, spec, count, constraints, Locality::Required);
     }
     let mut slots = slots.to_vec();
-    let mut bounds = bounds.clone();
-    let mut places = Vec::with_capacity(count);
+    let mut constraints = constraints.clone();
+    let mut placements = Vec::with_capacity(count);
     for _ in 0..count {
-        let index = pack_single(&slots, spec, &bounds, Locality::Relaxed)?;
-        bounds.count_task(&slots[index].worker);
+        let index = pack_single(&slots, spec, &constraints, Locality::Relaxed)?;
+        constraints.count_task(&slots[index].worker);
         slots[index].allocate(spec.demand());
-        places.push(index);
+        placements.push(index);
     }
-    Some(places)
+    Some(placements)
 }
 
-/// The plan that costs the least, over all racks for work that wants one.
+/// Returns the cheapest plan, over all racks for a gang that wants a single one.
 pub(crate) fn cheapest_plan(
     slots: &[Slot],
     spec: &StepSpec,
     count: usize,
-    bounds: &PlacementConstraints,
+    constraints: &PlacementConstraints,
     victims: &[Victim],
 ) -> Option<PreemptionPlan> {
     let mut best: Option<PreemptionPlan> = None;
     if spec.is_gang && spec.wants_same_rack {
-        for within in rack_ranges(slots) {
-            let plan = Clearing::new(slots, within, spec, bounds, victims).plan(count);
+        for range in rack_ranges(slots) {
+            let plan = PlanBuilder::new(slots, range, spec, constraints, victims).plan(count);
             best = cheaper(best, plan);
         }
     }
-    // On several racks the work is slower; that is still better than breaking the guarantee.
-    best.or_else(|| Clearing::new(slots, 0..slots.len(), spec, bounds, victims).plan(count))
+    // Across racks the work is slower, which is still better than breaking the guarantee.
+    best.or_else(|| PlanBuilder::new(slots, 0..slots.len(), spec, constraints, victims).plan(count))
 }
 
 fn cheaper(best: Option<PreemptionPlan>, other: Option<PreemptionPlan>) -> Option<PreemptionPlan> {
@@ -68,61 +68,62 @@
     }
 }
 
-/// `Clearing` makes room for the tasks of a step within a range of the slots.
-struct Clearing<'a> {
+/// `PlanBuilder` selects victims for the tasks of a step within a range of slots.
+struct PlanBuilder<'a> {
     spec: &'a StepSpec,
-    within: Range<usize>,
+    range: Range<usize>,
     slots: Vec<Slot>,
-    bounds: PlacementConstraints,
+    constraints: PlacementConstraints,
     victims: &'a [Victim],
-    /// The victims with something on each slot.
-    on_slot: Vec<Vec<usize>>,
+    /// Victims that use resources of each slot.
+    victims_by_slot: Vec<Vec<usize>>,
     is_stopped: Vec<bool>,
-    /// What room for one more task costs on each slot.
-    offers: Vec<Offer>,
+    /// Cost of placing one more task on each slot.
+    costs: Vec<SlotCost>,
 }
 
-/// `Offer` is what a slot offers to one more task.
+/// `SlotCost` is the cost of placing one more task on a slot.
 #[derive(Clone, Debug)]
-enum Offer {
-    /// The slot has changed since.
+enum SlotCost {
+    /// Not computed since the slot changed.
     Unknown,
-    /// No room, whatever stops.
-    Nothing,
-    /// Room once these victims have stopped.
-    Room { stops: Vec<usize>, cost: f64 },
+    /// The task does not fit even if all victims stop.
+    Impossible,
+    /// The task fits after these victims have stopped.
+    Possible { stops: Vec<usize>, cost: f64 },
 }
 
-impl<'a> Clearing<'a> {
+impl<'a> PlanBuilder<'a> {
     fn new(
         pool: &[Slot],
-        within: Range<usize>,
+        range: Range<usize>,
         spec: &'a StepSpec,
-        bounds: &PlacementConstraints,
+        constraints: &PlacementConstraints,
         victims: &'a [Victim],
     ) -> Self {
-        let slots = pool[within.clone()].to_vec();
-        let mut on_slot = vec![Vec::new(); slots.len()];
+        let slots = pool[range.clone()].to_vec();
+        let mut victims_by_slot = vec![Vec::new(); slots.len()];
         for (number, victim) in victims.iter().enumerate() {
             for (index, _) in &victim.freed {
-                if within.contains(index) {
-                    let on_slot: &mut Vec<usize> = &mut on_slot[index - within.start];
-                    // The members of a gang may lie on one worker.
-                    if on_slot.last() != Some(&number) {
-                        on_slot.push(number);
+                if range.contains(index) {
+                    let victims_by_slot: &mut Vec<usize> =
+                        &mut victims_by_slot[index - range.start];
+                    // Several members of a gang may run on one worker.
+                    if victims_by_slot.last() != Some(&number) {
+                        victims_by_slot.push(number);
                     }
                 }
             }
         }
         Self {
             spec,
-            bounds: bounds.clone(),
+            constraints: constraints.clone(),
             is_stopped: vec![false; victims.len()],
-            offers: vec![Offer::Unknown; slots.len()],
-            within,
+            costs: vec![SlotCost::Unknown; slots.len()],
+            range,
             slots,
             victims,
-            on_slot,
+            victims_by_slot,
         }
     }
 
@@ -130,16 +131,16 @@
         let mut placements = Vec::with_capacity(count);
         for _ in 0..count {
             let index = self.cheapest_slot()?;
-            let offer = std::mem::replace(&mut self.offers[index], Offer::Unknown);
-            if let Offer::Room { stops, .. } = offer {
+            let slot_cost = std::mem::replace(&mut self.costs[index], SlotCost::Unknown);
+            if let SlotCost::Possible { stops, .. } = slot_cost {
                 for victim in stops {
                     self.stop(victim);
                 }
             }
             let slot = &mut self.slots[index];
             slot.allocate(self.spec.demand());
-            self.bounds.count_task(&slot.worker);
-            placements.push(self.within.start + index);
+            self.constraints.count_task(&slot.worker);
+            placements.push(self.range.start + index);
         }
         let victims = self.victims.iter().zip(&self.is_stopped);
         let victims: Vec<Victim> = victims
@@ -154,75 +155,75 @@
         })
     }
 
-    /// The slot that offers room at the least cost, among equals the fullest.
+    /// Returns the slot with the lowest cost; among equals, the one with fewest failures, then the fullest.
     fn cheapest_slot(&mut self) -> Option<usize> {
         for index in 0..self.slots.len() {
-            if matches!(self.offers[index], Offer::Unknown) {
-                self.offers[index] = self.offer(index);
+            if matches!(self.costs[index], SlotCost::Unknown) {
+                self.costs[index] = self.slot_cost(index);
             }
         }
         let rank = |index: usize, cost: f64| {
             let slot = &self.slots[index];
             (cost, slot.consecutive_failures, slot.free.accelerators)
         };
-        let offers = self.offers.iter().enumerate();
-        let rooms = offers.filter_map(|(index, offer)| match offer {
-            Offer::Room { cost, .. } => Some((index, rank(index, *cost))),
-            Offer::Unknown | Offer::Nothing => None,
+        let costs = self.costs.iter().enumerate();
+        let possible = costs.filter_map(|(index, slot_cost)| match slot_cost {
+            SlotCost::Possible { cost, .. } => Some((index, rank(index, *cost))),
+            SlotCost::Unknown | SlotCost::Impossible => None,
         });
-        let best = rooms.min_by(|(_, a), (_, b)| {
+        let best = possible.min_by(|(_, a), (_, b)| {
             let by_cost = a.0.total_cmp(&b.0);
             by_cost.then_with(|| (a.1, a.2).cmp(&(b.1, b.2)))
         });
         best.map(|(index, _)| index)
     }
 
-    /// The cheapest victims that leave room for one more task on a slot.
-    fn offer(&self, index: usize) -> Offer {
+    /// Selects the cheapest victims on a slot whose stop makes one more task fit.
+    fn slot_cost(&self, index: usize) -> SlotCost {
         let mut slot = self.slots[index].clone();
-        let has_room = |slot: &Slot| slot.placeable_tasks(self.spec, &self.bounds) > 0;
+        let has_capacity = |slot: &Slot| slot.placeable_tasks(self.spec, &self.constraints) > 0;
         let mut stops: Vec<usize> = Vec::new();
-        if !has_room(&slot) {
-            let mut victims: Vec<usize> = self.on_slot[index]
+        if !has_capacity(&slot) {
+            let mut victims: Vec<usize> = self.victims_by_slot[index]
                 .iter()
                 .copied()
                 .filter(|&victim| !self.is_stopped[victim])
                 .collect();
             victims.sort_by(|&a, &b| {
-                let price = |victim: usize| {
-                    self.victims[victim].cost / share(self.freed_on(victim, index), self.spec)
+                let cost_per_share = |victim: usize| {
+                    self.victims[victim].cost / freed_share(self.freed_on(victim, index), self.spec)
                 };
-                price(a).total_cmp(&price(b))
+                cost_per_share(a).total_cmp(&cost_per_share(b))
             });
             for victim in victims {
                 slot.release(self.freed_on(victim, index));
                 stops.push(victim);
-                if has_room(&slot) {
+                if has_capacity(&slot) {
                     break;
                 }
             }
-            if !has_room(&slot) {
-                return Offer::Nothing;
+            if !has_capacity(&slot) {
+                return SlotCost::Impossible;
             }
-            self.spare_needless(index, &mut slot, &mut stops, has_room);
+            self.drop_unneeded(index, &mut slot, &mut stops, has_capacity);
         }
         let cost = stops.iter().map(|&victim| self.victims[victim].cost).sum();
-        Offer::Room { stops, cost }
+        SlotCost::Possible { stops, cost }
     }
 
-    /// Victims that were taken early may turn out needless once later ones are: they go on.
-    fn spare_needless(
+    /// Drops victims, the most expensive first, that later selections have made unnecessary.
+    fn drop_unneeded(
         &self,
         index: usize,
         slot: &mut Slot,
         stops: &mut Vec<usize>,
-        has_room: impl Fn(&Slot) -> bool,
+        has_capacity: impl Fn(&Slot) -> bool,
     ) {
-        let mut dearest = stops.clone();
-        dearest.sort_by(|&a, &b| self.victims[b].cost.total_cmp(&self.victims[a].cost));
-        for victim in dearest {
+        let mut most_expensive = stops.clone();
+        most_expensive.sort_by(|&a, &b| self.victims[b].cost.total_cmp(&self.victims[a].cost));
+        for victim in most_expensive {
             let without = slot.with_reallocated(self.freed_on(victim, index));
-            if has_room(&without) {
+            if has_capacity(&without) {
                 *slot = without;
                 stops.retain(|&other| other != victim);
             }
@@ -232,10 +233,10 @@
     fn stop(&mut self, victim: usize) {
         self.is_stopped[victim] = true;
         for (index, need) in &self.victims[victim].freed {
-            if self.within.contains(index) {
-                let slot = &mut self.slots[index - self.within.start];
+            if self.range.contains(index) {
+                let slot = &mut self.slots[index - self.range.start];
                 slot.release(*need);
-                self.offers[index - self.within.start] = Offer::Unknown;
+                self.costs[index - self.range.start] = SlotCost::Unknown;
             }
         }
     }
@@ -243,17 +244,17 @@
     fn freed_on(&self, victim: usize, index: usize) -> Resources {
         let freed = self.victims[victim].freed.iter();
         freed
-            .filter(|(at, _)| *at == self.within.start + index)
+            .filter(|(at, _)| *at == self.range.start + index)
             .fold(Resources::default(), |sum, (_, need)| sum.plus(*need))
     }
 }
 
-/// How much of what one task needs is freed: the mean over what it needs at all.
+/// How much of one task's demand is freed: the sum of the shares over the resources that it needs.
 #[expect(
     clippy::cast_precision_loss,
-    reason = "amounts on one worker are far below what a float holds exactly"
+    reason = "amounts on one worker are far below the largest integer that a float holds exactly"
 )]
-fn share(freed: Resources, spec: &StepSpec) -> f64 {
+fn freed_share(freed: Resources, spec: &StepSpec) -> f64 {
     let need = spec.demand();
     let parts = [
         (freed.cpu_millis, need.cpu_millis),
--- a/ragwortwick-area/src/value.rs
+++ b/ragwortwick-area/src/value.rs
@@ -1,4 +1,4 @@
-//! What work is worth at a moment, for the order in which it is placed.
+//! Value of jobs at a point in time, which determines their placement order.
 
 use ragwortwick_core::{DurationMs, TimeMs};
 
@@ -6,34 +6,34 @@
 use crate::job::CORES_PER_ACCELERATOR;
 use crate::job_state::{JobState, StepState, TaskState};
 
-/// Past this many times the objective a job is worth nothing more.
-const LATE_LIMIT: f64 = 3.0;
+/// A job that ends later than this many times its latency objective has no value left.
+const MAX_LATENESS_FACTOR: f64 = 3.0;
 
-/// Share of the worth of what has missed even that; it is still owed to its caller.
-const HOPELESS_SHARE: f64 = 0.01;
+/// Share of the value of a job that is later than that; the client still expects its result.
+const TOO_LATE_VALUE_SHARE: f64 = 0.01;
 
-/// What an accelerator counts for in cores, as a float.
+/// Cores that one accelerator counts for, as a float.
 #[expect(
     clippy::cast_precision_loss,
-    reason = "the figure is a small whole number"
+    reason = "the constant is a small integer"
 )]
 const CORES_PER_ACCELERATOR_AS_FLOAT: f64 = CORES_PER_ACCELERATOR as f64;
 
-/// `OccurrenceValue` is how a job's open occurrence ranks among others.
+/// `OccurrenceValue` is the value by which an occurrence of a job ranks among others.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct OccurrenceValue {
-    /// Worth for each accelerator-second that is still to be spent.
+    /// Value per accelerator-second of remaining work.
     pub(crate) value_density: f64,
-    /// Worth of the whole job if it is in time.
+    /// Value of the whole job if it meets its latency objective.
     pub(crate) value: f64,
-    /// Whether it can still be of any worth to its caller.
+    /// Whether its result would still have any value to the client.
     pub(crate) has_value_left: bool,
-    /// Whether it can still make its objective.
+    /// Whether it can still meet its latency objective.
     pub(crate) can_meet_objective: bool,
 }
 
 impl Coordinator {
-    /// Ranks one occurrence of a job by worth over the accelerator time that it still needs.
+    /// Computes the value of one occurrence of a job per accelerator time that it still needs.
     pub(crate) fn occurrence_value(
         &self,
         now: TimeMs,
@@ -41,38 +41,38 @@
         occurrence: usize,
         due_at: TimeMs,
     ) -> OccurrenceValue {
-        let terms = self.queue_policy(job);
+        let policy = self.queue_policy(job);
         let steps = &job.occurrences[occurrence];
-        let rest_ms = rest_of_chain_ms(job, steps);
-        let objective_ms = terms.objective_ms(job.record.critical_path_ms());
-        let ready_at = now + rest_ms;
-        let late_at = due_at + objective_ms.scaled(LATE_LIMIT);
+        let remaining_ms = remaining_critical_path_ms(job, steps);
+        let objective_ms = policy.objective_ms(job.record.critical_path_ms());
+        let ready_at = now + remaining_ms;
+        let value_ends_at = due_at + objective_ms.scaled(MAX_LATENESS_FACTOR);
         let can_meet_objective = ready_at <= due_at + objective_ms;
-        let has_value_left = ready_at <= late_at;
+        let has_value_left = ready_at <= value_ends_at;
         let weights = &self.limits.weights;
-        let share = if can_meet_objective {
+        let value_share = if can_meet_objective {
             1.0
         } else if has_value_left {
             weights.late_share
         } else {
-            HOPELESS_SHARE
+            TOO_LATE_VALUE_SHARE
         };
-        let spent = rest_of_work(job, steps).max(1.0);
-        let whole = total_work(job).max(1.0);
-        // The worth grows with the whole job's work, at seven tenths of it.
-        let mean = self.mean_work(&job.record.queue).unwrap_or(whole);
-        let value = weights.of_priority(terms.priority) * (0.3 + 0.7 * whole / mean).min(4.0);
+        let remaining = remaining_work(job, steps).max(1.0);
+        let total = total_work(job).max(1.0);
+        // The value grows with the whole job's work, relative to the queue's mean, at seven tenths of it.
+        let mean = self.mean_work(&job.record.queue).unwrap_or(total);
+        let value = weights.of_priority(policy.priority) * (0.3 + 0.7 * total / mean).min(4.0);
         OccurrenceValue {
-            value_density: value * share / spent,
+            value_density: value * value_share / remaining,
             value,
             has_value_left,
             can_meet_objective,
         }
     }
 
-    /// Worth of a core-second, an accelerator counted in cores: all that came in, over what it takes.
+    /// Mean value of a core-second: total value of the submitted jobs over their total work in cores.
     ///
-    /// What is thrown away takes as much room a second time, and other work would have had it.
+    /// Lost work needs the same capacity a second time, which other work could have used.
     pub(crate) fn value_per_core_second(&self) -> f64 {
         let mut value = 0.0;
         let mut work = 0.0;
@@ -94,45 +94,45 @@
     }
 }
 
-/// Estimated time of the longest chain of steps that are not done.
-fn rest_of_chain_ms(job: &JobState, steps: &[StepState]) -> DurationMs {
-    let mut ends: Vec<u64> = Vec::with_capacity(steps.len());
+/// Estimated duration of the critical path of the steps that are not done.
+fn remaining_critical_path_ms(job: &JobState, steps: &[StepState]) -> DurationMs {
+    let mut end_times_ms: Vec<u64> = Vec::with_capacity(steps.len());
     for (spec, step) in job.record.steps.iter().zip(steps) {
-        let begin = spec
+        let start_ms = spec
             .after
             .iter()
-            .filter_map(|&earlier| ends.get(earlier as usize))
+            .filter_map(|&number| end_times_ms.get(number as usize))
             .max()
             .copied()
             .unwrap_or(0);
-        let own = if step.is_done() {
+        let duration_ms = if step.is_done() {
             0
         } else {
             spec.estimate_ms.0
         };
-        ends.push(begin + own);
+        end_times_ms.push(start_ms + duration_ms);
     }
-    DurationMs(ends.into_iter().max().unwrap_or(0))
+    DurationMs(end_times_ms.into_iter().max().unwrap_or(0))
 }
 
-/// Accelerator-seconds that one occurrence still needs; tasks without accelerators count a little.
-fn rest_of_work(job: &JobState, steps: &[StepState]) -> f64 {
+/// Accelerator-seconds that one occurrence still needs; tasks without accelerators count for a small amount.
+fn remaining_work(job: &JobState, steps: &[StepState]) -> f64 {
     job.record
         .steps
         .iter()
         .zip(steps)
         .map(|(spec, step)| {
-            let open = step
+            let unfinished = step
                 .tasks
                 .iter()
                 .filter(|task| task.state != TaskState::Done)
                 .count();
-            task_work(spec) * f64::from(u32::try_from(open).unwrap_or(u32::MAX))
+            task_work(spec) * f64::from(u32::try_from(unfinished).unwrap_or(u32::MAX))
         })
         .sum()
 }
 
-/// Accelerator-seconds of one whole occurrence.
+/// Accelerator-seconds of one complete occurrence.
 pub(crate) fn total_work(job: &JobState) -> f64 {
     job.record
         .steps
@@ -143,7 +143,7 @@
 
 #[expect(
     clippy::cast_precision_loss,
-    reason = "amounts on one worker are far below what a float holds exactly"
+    reason = "amounts on one worker are far below the largest integer that a float holds exactly"
 )]
 fn task_work(spec: &crate::job::StepSpec) -> f64 {
     let accelerators = spec.need.accelerators as f64 + spec.need.cpu_millis as f64 / 8_000.0;
--- a/ragwortwick-area/tests/capacity.rs
+++ b/ragwortwick-area/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! Workers whose capacity shrinks and grows while they run.
+//! Workers whose capacity shrinks and grows while tasks run there.
 
 mod rig;
 
@@ -17,7 +17,7 @@
     }
 }
 
-/// A start that waits for its record would bring a worker over its capacity that shrank meanwhile.
+/// Guards against a start that overcommits a worker whose capacity shrank while the record was being stored.
 #[test]
 fn verify_a_start_is_withdrawn_when_its_worker_has_shrunk() {
     let mut rig = Rig::new(&[worker("w1", "r1")]);
@@ -27,10 +27,10 @@
     rig.store_batches();
     assert_eq!(rig.starts(), vec![]);
     rig.send(Event::WorkerUpdated(worker("w1", "r1")));
-    assert_eq!(rig.start_all().len(), 1, "there is room again");
+    assert_eq!(rig.start_all().len(), 1, "the task fits again");
 }
 
-/// A start without an answer may not have arrived: sent again, it would begin on a worker that shrank.
+/// Guards against a start without a reply that is sent again to a worker whose capacity has shrunk.
 #[test]
 fn verify_an_unanswered_start_is_not_repeated_on_a_worker_that_has_shrunk() {
     let mut rig = Rig::new(&[worker("w1", "r1")]);
@@ -42,10 +42,14 @@
     rig.reply(&start, OrderReply::Unknown);
     rig.advance(1_000);
     assert_eq!(rig.starts(), vec![]);
-    assert_eq!(rig.stops().len(), 1, "a stop settles whether it arrived");
+    assert_eq!(
+        rig.stops().len(),
+        1,
+        "the unanswered start has to be stopped"
+    );
 }
 
-/// A worker that holds more than it has would be brought further over by what needs none of that.
+/// Guards against starts on an overcommitted worker, even of tasks that need none of the scarce resource.
 #[test]
 fn verify_nothing_begins_on_a_worker_that_holds_more_than_it_has() {
     let mut rig = Rig::new(&[worker("w1", "r1")]);
@@ -54,13 +58,16 @@
     rig.send(Event::WorkerUpdated(shrunk("w1", 4)));
     rig.submit("00000000000000a2", "middle", step(1, 0));
     rig.advance(20);
-    assert!(rig.store_batches().is_empty(), "it is not placed");
+    assert!(
+        rig.store_batches().is_empty(),
+        "nothing is placed on the overcommitted worker"
+    );
     rig.poll_reply("w1", vec![running(&first[0])], vec![]);
     rig.send(Event::WorkerUpdated(worker("w1", "r1")));
     assert_eq!(rig.start_all().len(), 1);
 }
 
-/// Stopping less than what a worker holds over its capacity makes no room for anybody.
+/// Guards against preemption that stops less than a worker's overcommitted resources, so that nothing fits.
 #[test]
 fn verify_as_much_is_stopped_as_makes_room_on_a_worker_that_has_shrunk() {
     let mut rig = Rig::new(&[worker("w1", "r1")]);
@@ -72,11 +79,11 @@
     assert_eq!(
         rig.stops().len(),
         3,
-        "two are over its capacity, one makes room"
+        "two overcommit the worker, one frees capacity"
     );
 }
 
-/// A run that nobody waits for takes its worker's room until it is gone.
+/// Guards against starts in capacity that an untracked run still uses.
 #[test]
 fn verify_nothing_begins_in_the_room_of_a_run_that_nobody_waits_for() {
     let mut rig = Rig::new(&[worker("w1", "r1")]);
@@ -87,7 +94,11 @@
     let late = (first[0].0.clone(), first[0].1.clone(), 7);
     rig.poll_reply("w1", vec![running(&late)], vec![]);
     rig.store_batches();
-    assert_eq!(rig.starts(), vec![], "the late run has all accelerators");
+    assert_eq!(
+        rig.starts(),
+        vec![],
+        "the untracked run uses all accelerators"
+    );
     rig.advance(100);
     rig.poll_reply("w1", vec![], vec![]);
     assert_eq!(rig.start_all().len(), 1);
--- a/ragwortwick-area/tests/displacement.rs
+++ b/ragwortwick-area/tests/displacement.rs
@@ -1,4 +1,4 @@
-//! Which runs give way when urgent work comes in and every worker is full.
+//! Which runs are preempted when urgent work is submitted and all workers are full.
 
 mod rig;
 
@@ -13,19 +13,19 @@
     Rig::new(&entries)
 }
 
-fn saving(count: u32, accelerators: u64) -> StepSpec {
+fn with_checkpoints(count: u32, accelerators: u64) -> StepSpec {
     StepSpec {
         saves_checkpoints: true,
         ..step(count, accelerators)
     }
 }
 
-/// Patient work fills all workers; half of it saves checkpoints. A stop saves one more, so stopping that
-/// half throws nothing away, though it has run for longer. The other half's callers keep their work.
+/// Guards against preemption that loses work: patient tasks fill all workers, and half of them save
+/// checkpoints. A stop saves one more, so stopping that half loses nothing, though it has run for longer.
 #[test]
 fn verify_work_that_saves_checkpoints_gives_way_first() {
     let mut rig = pool();
-    rig.submit("00000000000000a0", "patient", saving(16, 1));
+    rig.submit("00000000000000a0", "patient", with_checkpoints(16, 1));
     rig.start_all();
     rig.advance(1_000);
     rig.submit("00000000000000a1", "patient", step(16, 1));
@@ -39,9 +39,9 @@
     assert!(stops.iter().all(|stop| saves(stop.1.job_id.as_str())));
 }
 
-/// On each of four workers one task began long ago and seven a moment ago. An urgent job needs one whole
-/// worker, so eight tasks stop, all on one: the cheapest of the pool one after the other would have been
-/// the young ones of all workers, and no worker would have come free before most of them were stopped.
+/// Guards against stops that are spread over all workers: on each of four workers one task started long ago
+/// and seven just now. An urgent job needs one whole worker, so the eight tasks of one worker stop. Choosing
+/// the cheapest tasks of the pool would stop most of the young ones before any worker was free.
 #[test]
 fn verify_one_worker_is_cleared_not_a_little_of_each() {
     let mut rig = pool();
@@ -62,9 +62,9 @@
     assert!(stops.iter().all(|stop| stop.0 == stops[0].0));
 }
 
-/// An urgent gang beyond its customer's share needs three of four workers, on which patient work has run
-/// for three of its sixty seconds. The gang is large, and worth as much more to its caller as it is larger
-/// than others of its queue; a bound that is the same for all jobs kept it waiting until it was too late.
+/// Guards against a fixed limit on preempted work: an urgent gang beyond its customer's share needs three of
+/// four workers, on which patient tasks have run for three of sixty seconds. Its value grows with its size
+/// relative to its queue's mean; with one limit for all jobs it waited until it was too late.
 #[test]
 fn verify_a_large_urgent_job_may_displace_more_than_others() {
     let mut rig = pool();
@@ -89,12 +89,13 @@
     assert_eq!(rig.stops().len(), 24);
 }
 
-/// Room is being cleared for an urgent job when another comes in that is worth more by the second. The
-/// first one's caller has waited for the stops, so it gets the room; the second has its own cleared.
+/// Guards against freed capacity that goes to the wrong job: runs are being stopped for an urgent job when
+/// another with a higher value density is submitted. The first job gets the capacity; the second preempts
+/// others.
 #[test]
 fn verify_cleared_room_goes_to_the_job_that_it_was_cleared_for() {
     let mut rig = pool();
-    rig.submit("00000000000000d0", "patient", saving(32, 1));
+    rig.submit("00000000000000d0", "patient", with_checkpoints(32, 1));
     let patient = rig.start_all();
     rig.advance(300);
     rig.submit_as("00000000000000d1", "nobody", "urgent", gang(1, 8));
@@ -119,12 +120,12 @@
     let is_stop = |action: &Action| matches!(action, Action::Stop { .. });
     assert!(
         rig.actions.iter().any(is_stop),
-        "room is cleared for the second"
+        "runs are preempted for the second job"
     );
 }
 
-/// Guards against two urgent jobs that take the same room from each other pass after pass, so that
-/// neither begins.
+/// Guards against two urgent jobs that preempt each other for the same capacity pass after pass, so that
+/// neither starts.
 #[test]
 fn verify_room_cleared_for_a_promise_does_not_go_back_to_whoever_gave_way() {
     let entries: Vec<_> = ["w1", "w2", "w3"]
@@ -146,8 +147,8 @@
     let ends = ends.collect();
     rig.poll_reply(stops[0].0.as_str(), Vec::new(), ends);
     rig.advance(20);
-    let owed = "00000000000000e3";
-    rig.submit_as(owed, "d", "urgent", gang(1, 8));
+    let guaranteed = "00000000000000e3";
+    rig.submit_as(guaranteed, "d", "urgent", gang(1, 8));
     rig.advance(100);
     rig.store_batches();
     let started: Vec<_> = rig
@@ -155,5 +156,5 @@
         .into_iter()
         .map(|start| start.1.job_id)
         .collect();
-    assert_eq!(started, [JobId::new(owed)]);
+    assert_eq!(started, [JobId::new(guaranteed)]);
 }
--- a/ragwortwick-area/tests/guarantees.rs
+++ b/ragwortwick-area/tests/guarantees.rs
@@ -1,4 +1,4 @@
-//! Guaranteed accelerators come back to their customer, whatever runs.
+//! Guaranteed accelerators are returned to their customer, whatever runs on them.
 
 mod rig;
 
@@ -6,8 +6,8 @@
 use ragwortwick_core::WorkerName;
 use rig::{Rig, ended, gang, job, step, worker};
 
-/// Patient work fills the workers when an urgent gang comes in. Just as much stops as the gang needs,
-/// and the gang gets the room although other work waits for it too.
+/// Guards against unnecessary stops: patient tasks fill the workers when an urgent gang is submitted. Only as
+/// many stop as the gang needs, and the gang gets the capacity although other tasks wait for it as well.
 #[test]
 fn verify_urgent_gang_displaces_patient_work() {
     let workers = [worker("w1", "r1"), worker("w2", "r1")];
@@ -16,7 +16,7 @@
     rig.advance(20);
     rig.store_batches();
     let patient = rig.starts();
-    assert_eq!(patient.len(), 16, "all accelerators are taken");
+    assert_eq!(patient.len(), 16, "all accelerators are in use");
     for start in &patient {
         rig.accept(start);
     }
@@ -52,11 +52,11 @@
         .filter(|start| start.1.job_id.as_str() == "00000000000000c1")
         .count();
     assert_eq!(urgent, 1);
-    assert_eq!(starts.len(), 1, "the freed room is not given away");
+    assert_eq!(starts.len(), 1, "the freed capacity goes to no other task");
 }
 
-/// Urgent work beyond its customer's share that can be in time displaces patient work only while
-/// little of that is thrown away: here it has run for a moment.
+/// Urgent work beyond its customer's share that can meet its objective preempts patient work only while
+/// little work is lost: here the patient tasks have just started.
 #[test]
 fn verify_urgent_work_beyond_the_share_displaces_cheap_work() {
     let workers = [worker("w1", "r1"), worker("w2", "r1"), worker("w3", "r1")];
@@ -71,7 +71,7 @@
     assert_eq!(rig.stops().len(), 24);
 }
 
-/// The same once seconds of work would be thrown away: it waits, and nobody is displaced.
+/// Urgent work beyond its customer's share waits and preempts nothing if seconds of work would be lost.
 #[test]
 fn verify_urgent_work_beyond_the_share_displaces_no_costly_work() {
     let workers = [worker("w1", "r1"), worker("w2", "r1"), worker("w3", "r1")];
@@ -87,7 +87,7 @@
     assert_eq!(rig.starts(), vec![]);
 }
 
-/// Urgent work that can't be in time any more displaces nobody either, however little is lost.
+/// Urgent work that can no longer meet its objective preempts nothing, however little work would be lost.
 #[test]
 fn verify_late_urgent_work_displaces_nobody() {
     let workers = [worker("w1", "r1"), worker("w2", "r1"), worker("w3", "r1")];
@@ -96,15 +96,16 @@
     let patient = job("00000000000000c2", "patient", vec![step(24, 1)]);
     rig.send(Event::JobAccepted(patient));
     rig.start_all();
-    // Accepted a minute ago, by its record.
+    // Its record says that it was accepted a minute ago.
     rig.submit("00000000000000c3", "urgent", gang(3, 8));
     rig.advance(200);
     rig.store_batches();
     assert_eq!(rig.stops(), vec![]);
 }
 
-/// One customer's urgent work runs far beyond its share. Another customer's guarantee is called, and
-/// the youngest of the borrowed runs gives way, although all of it is urgent: a promise comes first.
+/// Guards against a guarantee that is blocked by other urgent work: one customer's urgent runs exceed its
+/// share when another claims its own. The youngest run beyond the share is preempted, although all of them
+/// are urgent.
 #[test]
 fn verify_guarantee_takes_back_what_urgent_work_borrowed() {
     let workers = [worker("w1", "r1"), worker("w2", "r1"), worker("w3", "r1")];
@@ -123,7 +124,7 @@
     assert_eq!(stops[0].1.job_id.as_str(), "00000000000000d2");
 }
 
-/// A worker that leaves gets no new work, and a start that is not sent yet is not sent any more.
+/// A draining worker gets no new work, and a start that has not been sent is withdrawn.
 #[test]
 fn verify_leaving_worker_gets_no_start() {
     let mut rig = Rig::new(&[worker("w1", "r1")]);
@@ -138,9 +139,9 @@
     assert_eq!(rig.starts(), vec![]);
 }
 
-/// A wide urgent gang waits for the second of two workers that are being cleared for it when a small
-/// urgent job comes in. The worker that is free already stays kept for the gang: given to each small
-/// job that comes, the wide one's caller would wait for as long as small ones keep coming.
+/// Guards against small urgent jobs that starve a wide gang: the gang waits for the second of two workers
+/// that are being cleared for it when a small urgent job is submitted. The worker that is already free stays
+/// reserved for the gang; otherwise it would wait as long as small jobs keep arriving.
 #[test]
 fn verify_small_urgent_work_does_not_take_what_a_wide_gang_waits_for() {
     let workers = [worker("w1", "r1"), worker("w2", "r1"), worker("w3", "r1")];
@@ -168,7 +169,11 @@
     rig.submit_as("00000000000000e2", "d", "urgent", gang(1, 8));
     rig.advance(30);
     rig.store_batches();
-    assert_eq!(rig.starts(), vec![], "the free worker is kept for the gang");
+    assert_eq!(
+        rig.starts(),
+        vec![],
+        "the free worker is reserved for the gang"
+    );
     let second = stops
         .iter()
         .find(|stop| stop.0 != first)
--- a/ragwortwick-area/tests/headroom.rs
+++ b/ragwortwick-area/tests/headroom.rs
@@ -1,4 +1,4 @@
-//! Which work may use the racks that are left to urgent gangs.
+//! Which work may use the racks that are headroom for urgent gangs.
 
 mod rig;
 
@@ -18,7 +18,7 @@
     Rig::new(&entries)
 }
 
-fn saving(count: u32) -> StepSpec {
+fn with_checkpoints(count: u32) -> StepSpec {
     StepSpec {
         saves_checkpoints: true,
         ..step(count, 1)
@@ -33,34 +33,34 @@
         .count()
 }
 
-/// An urgent gang takes a quarter of the pool, and work that saves takes another.
+/// Starts an urgent gang on a quarter of the pool, and tasks that save checkpoints on another.
 fn with_urgent_gang(rig: &mut Rig) -> Vec<Start> {
     rig.submit_as("00000000000000a0", "c", "urgent", gang(2, 8));
-    rig.submit("00000000000000a1", "patient", saving(16));
+    rig.submit("00000000000000a1", "patient", with_checkpoints(16));
     let starts = rig.start_all();
     assert_eq!(starts.len(), 18);
     starts
 }
 
-/// Guards against work without checkpoints that is begun over and over in room that urgent gangs take.
+/// Guards against work without checkpoints that is restarted again and again in capacity urgent gangs need.
 #[test]
 fn verify_work_that_saves_nothing_leaves_headroom_to_urgent_gangs() {
     let mut rig = pool();
     with_urgent_gang(&mut rig);
-    let losing = "00000000000000b0";
-    rig.submit(losing, "patient", step(32, 1));
-    let begun = count_of(&rig.start_all(), losing);
-    assert!(begun <= 16, "{begun} of 32 begun");
+    let without_checkpoints = "00000000000000b0";
+    rig.submit(without_checkpoints, "patient", step(32, 1));
+    let started = count_of(&rig.start_all(), without_checkpoints);
+    assert!(started <= 16, "{started} of 32 started");
     let wide = "00000000000000b1";
     rig.submit(wide, "middle", gang(9, 1));
     assert_eq!(count_of(&rig.start_all(), wide), 0);
     rig.submit_as("00000000000000b2", "d", "urgent", gang(2, 8));
     let urgent = rig.start_all();
     assert_eq!(count_of(&urgent, "00000000000000b2"), 2);
-    assert!(rig.stops().is_empty(), "others are stopped for it");
+    assert!(rig.stops().is_empty(), "runs were preempted for it");
 }
 
-/// Guards against work of one pool that waits for the sake of another pool's urgent work.
+/// Guards against headroom in one pool for the urgent work of another pool.
 #[test]
 fn verify_urgent_work_of_another_pool_takes_no_headroom() {
     let entries: Vec<_> = (0..8)
@@ -90,12 +90,12 @@
     }
 }
 
-/// Guards against headroom that stands idle while work waits that a stop costs nothing.
+/// Guards against headroom that is idle while work waits that is cheap to stop.
 #[test]
 fn verify_work_that_saves_uses_the_headroom() {
     let mut rig = pool();
     with_urgent_gang(&mut rig);
-    rig.submit("00000000000000c0", "patient", saving(32));
+    rig.submit("00000000000000c0", "patient", with_checkpoints(32));
     assert_eq!(rig.start_all().len(), 32);
     let narrow = "00000000000000c1";
     let mut rig = pool();
@@ -106,7 +106,7 @@
     assert_eq!(count_of(&rig.start_all(), narrow), 4);
 }
 
-/// Guards against jobs that nothing runs of while most of the pool is idle.
+/// Guards against jobs that have no run while most of the pool is idle.
 #[test]
 fn verify_headroom_is_given_up_while_most_of_the_pool_is_idle() {
     let mut rig = pool();
--- a/ragwortwick-area/tests/sharing.rs
+++ b/ragwortwick-area/tests/sharing.rs
@@ -1,4 +1,4 @@
-//! Tasks that serve users, and fillers beside them on the same worker.
+//! Latency-sensitive tasks and fillers on the same worker.
 
 mod rig;
 
@@ -10,12 +10,12 @@
 
 const TARGET_MS: u32 = 100;
 
-/// Within this time a tail latency over its target has to come down, by the users' rule.
-const HARM_MS: u64 = 4_000;
+/// A tail latency may exceed its target for at most this time, by the users' rule.
+const MAX_OVER_TARGET_MS: u64 = 4_000;
 
 type Start = (WorkerName, TaskId, u32);
 
-/// A worker with one task that serves and two fillers, all confirmed.
+/// A worker with one serving task and two fillers, all confirmed.
 fn shared_worker() -> (Rig, Start, Vec<Start>) {
     let mut rig = Rig::new(&[worker("w1", "r1")]);
     let serving = StepSpec {
@@ -43,7 +43,7 @@
     (rig, serving[0].clone(), fillers)
 }
 
-/// Takes the paces that were ordered.
+/// Takes the pace orders that were sent.
 fn paces(rig: &mut Rig) -> Vec<(TaskId, u32)> {
     rig.take(|action| match action {
         Action::SetPace { task, percent, .. } => Some((task.clone(), *percent)),
@@ -51,9 +51,9 @@
     })
 }
 
-/// Users wait too long for a serving task because of fillers beside it. The fillers are slowed down
-/// until its tail latency is under the target, well within the time that users bear, and go on as
-/// fast as that allows. Later the disturbance doubles, and they are slowed down again.
+/// Guards against fillers that keep a serving task's tail latency over its target. They are throttled until
+/// it is under the target, well within the allowed time, and then run as fast as the target allows. Later the
+/// interference doubles, and they are throttled again.
 #[test]
 fn verify_fillers_are_slowed_down_before_users_feel_them() {
     let (mut rig, serving, fillers) = shared_worker();
@@ -62,40 +62,40 @@
         pace.insert(start.1.clone(), 100);
     }
     let mut over_ms = 0;
-    let mut total = 0;
+    let mut pace_sum = 0;
     for round in 0..120 {
         for (task, percent) in paces(&mut rig) {
             pace.insert(task, percent);
         }
-        let disturbance = if round < 60 { 1 } else { 2 };
-        let fill: u32 = pace.values().sum();
-        let tail_ms = 40 + fill * disturbance;
+        let interference = if round < 60 { 1 } else { 2 };
+        let total_pace: u32 = pace.values().sum();
+        let tail_ms = 40 + total_pace * interference;
         over_ms = if tail_ms > TARGET_MS {
             over_ms + 500
         } else {
             0
         };
         assert!(
-            over_ms < HARM_MS,
+            over_ms < MAX_OVER_TARGET_MS,
             "round {round}: over the target for {over_ms} ms"
         );
-        total += fill;
-        let mut rows: Vec<RunningTask> = fillers.iter().map(running).collect();
-        rows.push(RunningTask {
+        pace_sum += total_pace;
+        let mut reports: Vec<RunningTask> = fillers.iter().map(running).collect();
+        reports.push(RunningTask {
             load: tail_ms,
             ..running(&serving)
         });
-        rig.poll_reply("w1", rows, Vec::new());
+        rig.poll_reply("w1", reports, Vec::new());
         rig.advance(500);
     }
     assert!(
-        total / 120 > 10,
-        "fillers still work, on average at {} per cent",
-        total / 120
+        pace_sum / 120 > 10,
+        "the fillers' mean total pace is {} per cent",
+        pace_sum / 120
     );
 }
 
-/// Where nothing serves, fillers work at full speed and get no orders for it.
+/// Without a serving task, fillers run at full speed and get no pace orders.
 #[test]
 fn verify_fillers_alone_are_not_slowed_down() {
     let mut rig = Rig::new(&[worker("w1", "r1")]);
@@ -114,23 +114,23 @@
     assert!(paces(&mut rig).is_empty());
 }
 
-/// A pace got no answer, so the filler may go on at full speed beside users. It is told again.
+/// Guards against a filler that stays at full speed because a pace order was lost: it is sent again.
 #[test]
 fn verify_pace_without_an_answer_is_told_again() {
     let (mut rig, serving, fillers) = shared_worker();
     let first = paces(&mut rig);
-    assert_eq!(first.len(), 2, "fillers begin slowly beside what serves");
+    assert_eq!(first.len(), 2, "fillers start slowly beside a serving task");
     rig.send(Event::PaceFailed {
         worker: fillers[0].0.clone(),
         task: fillers[0].1.clone(),
         run: fillers[0].2,
     });
-    let mut rows: Vec<RunningTask> = fillers.iter().map(running).collect();
-    rows.push(RunningTask {
+    let mut reports: Vec<RunningTask> = fillers.iter().map(running).collect();
+    reports.push(RunningTask {
         load: 80,
         ..running(&serving)
     });
-    rig.poll_reply("w1", rows, Vec::new());
+    rig.poll_reply("w1", reports, Vec::new());
     let again = paces(&mut rig);
     assert_eq!(again, [(fillers[0].1.clone(), first[0].1)]);
 }
--- a/ragwortwick-area/tests/speed.rs
+++ b/ragwortwick-area/tests/speed.rs
@@ -1,4 +1,4 @@
-//! How workers of different speed are told apart, and what goes to which.
+//! How workers of different speed are distinguished, and which work is placed on them.
 
 mod rig;
 
@@ -9,8 +9,8 @@
 
 const SLOW: &str = "w2";
 
-/// Lets each of four workers do a task of a few steps; the slow one takes half as long again.
-fn pool_that_has_worked() -> Rig {
+/// Runs one task of each of three jobs on each of four workers; the slow one takes half as long again.
+fn pool_with_speed_samples() -> Rig {
     let entries: Vec<_> = ["w1", "w2", "w3", "w4"]
         .iter()
         .map(|name| worker(name, "r1"))
@@ -42,17 +42,17 @@
 /// Guards against an urgent gang that is late for one member on a slow worker while fast ones are free.
 #[test]
 fn verify_an_urgent_gang_goes_to_fast_workers() {
-    let mut rig = pool_that_has_worked();
+    let mut rig = pool_with_speed_samples();
     rig.submit_as("00000000000000a0", "c", "urgent", gang(3, 8));
     let starts = rig.start_all();
     let on: BTreeSet<_> = starts.iter().map(|start| start.0.as_str()).collect();
     assert_eq!(on, BTreeSet::from(["w1", "w3", "w4"]));
 }
 
-/// Guards against work with time to spare that takes the fast workers from urgent work.
+/// Guards against work with slack that uses the fast workers, which urgent work needs.
 #[test]
 fn verify_other_work_goes_to_slow_workers() {
-    let mut rig = pool_that_has_worked();
+    let mut rig = pool_with_speed_samples();
     rig.submit("00000000000000a0", "middle", gang(1, 8));
     let starts = rig.start_all();
     assert_eq!(starts[0].0.as_str(), SLOW);
