--- a/ragwortwick-area/src/advice.rs
+++ b/ragwortwick-area/src/advice.rs
@@ -257,9 +257,9 @@
 ) -> Vec<WorkerName> {
     let mut ranked = Vec::new();
     for range in rack_ranges(slots) {
-        let rack = &slots[range];
-        let free_in_rack: u64 = rack.iter().map(|slot| slot.fits(spec)).sum();
-        for slot in rack {
+        let rack_slots = &slots[range];
+        let free_in_rack: u64 = rack_slots.iter().map(|slot| slot.fits(spec)).sum();
+        for slot in rack_slots {
             let has_capacity = slot.fits(spec) > 0;
             let is_candidate = slot.has_required_label(spec) && (has_capacity || can_preempt);
             let ticket = known.and_then(|step| step.tickets.get(&slot.worker));
