--- a/ragwortwick-area/src/coordinator.rs
+++ b/ragwortwick-area/src/coordinator.rs
@@ -83,8 +83,11 @@
     pub(crate) records: RecordBatches,
     pub(crate) advice: AdvisorState,
     pub(crate) actions: Vec<Action>,
+    /// End of the coordinator's own lease.
     pub(crate) lease_valid_until: TimeMs,
+    /// When the worker list was last confirmed to be complete.
     workers_confirmed_at: Option<TimeMs>,
+    /// Whether an event since the last placement pass requires another one.
     pub(crate) needs_pass: bool,
     next_pass_at: TimeMs,
     /// Start of the last placement pass, until its end is recorded.
@@ -98,6 +101,7 @@
     /// Whether an order may be due before the next periodic maintenance.
     pub(crate) has_due_orders: bool,
     next_maintenance_at: TimeMs,
+    /// When the next scheduled occurrence of a job is due.
     pub(crate) next_scheduled_at: Option<TimeMs>,
     /// Accelerator-seconds and number of the jobs submitted to each queue.
     pub(crate) submitted_work: BTreeMap<ClassName, (f64, u32)>,
@@ -114,7 +118,7 @@
 impl Coordinator {
     /// `take_over` begins a term with the state read from the store.
     ///
-    /// Recorded runs are treated as running until a poll disproves it or their leases have expired.
+    /// Recorded runs count as running until a poll shows otherwise or their leases have ended.
     #[must_use]
     pub fn take_over(
         now: Now,
@@ -165,11 +169,11 @@
     pub fn on_event(&mut self, now: Now, event: Event) -> Vec<Action> {
         match event {
             Event::DesiredState(desired) => self.desired = desired,
-            Event::WorkerUpdated(entry) => self.worker_updated(now.steady, entry),
-            Event::WorkerRemoved(name) => self.worker_removed(&name),
+            Event::WorkerUpdated(entry) => self.on_worker_updated(now.steady, entry),
+            Event::WorkerRemoved(name) => self.on_worker_removed(&name),
             Event::WorkersConfirmed => self.workers_confirmed_at = Some(now.steady),
-            Event::JobAccepted(record) => self.job_accepted(now, record),
-            Event::JobCancelled(job_id) => self.cancel(now.steady, &job_id),
+            Event::JobAccepted(record) => self.on_job_accepted(now, record),
+            Event::JobCancelled(job_id) => self.cancel_job(now.steady, &job_id),
             Event::BatchStored { batch } => self.on_batch_stored(now.steady, batch),
             Event::CompletionHandedOver { task, run } => {
                 self.on_completion_handed_over(now.steady, &task, run);
@@ -190,7 +194,7 @@
                 worker,
                 sent_at,
                 report,
-            } => self.on_poll_reply(now.steady, &worker, sent_at, &report),
+            } => self.on_poll_replied(now.steady, &worker, sent_at, &report),
             Event::PollFailed { worker, failure } => {
                 self.on_poll_failed(now.steady, &worker, failure);
             }
@@ -305,7 +309,7 @@
             .map_or(&job.record.policy, |queue| &queue.policy)
     }
 
-    fn worker_updated(&mut self, now: TimeMs, entry: WorkerEntry) {
+    fn on_worker_updated(&mut self, now: TimeMs, entry: WorkerEntry) {
         if let Some(worker) = self.workers.get_mut(&entry.name) {
             worker.update_entry(now, entry);
         } else {
@@ -314,7 +318,7 @@
         }
     }
 
-    fn worker_removed(&mut self, name: &WorkerName) {
+    fn on_worker_removed(&mut self, name: &WorkerName) {
         if let Some(worker) = self.workers.get_mut(name) {
             // The runs may continue: the entry also expires when the worker loses contact with the store.
             worker.is_listed = false;
@@ -324,7 +328,7 @@
         }
     }
 
-    fn job_accepted(&mut self, now: Now, record: Arc<JobRecord>) {
+    fn on_job_accepted(&mut self, now: Now, record: Arc<JobRecord>) {
         let job_id = record.job_id.clone();
         if self.jobs.contains_key(&job_id) {
             return;
@@ -348,7 +352,7 @@
         submitted.1 += 1;
     }
 
-    pub(crate) fn cancel(&mut self, now: TimeMs, job_id: &JobId) {
+    pub(crate) fn cancel_job(&mut self, now: TimeMs, job_id: &JobId) {
         let Some(job) = self.jobs.get_mut(job_id) else {
             return;
         };
--- a/ragwortwick-area/src/polls.rs
+++ b/ragwortwick-area/src/polls.rs
@@ -31,7 +31,7 @@
 /// Pause between polls of an unresponsive worker.
 const UNRESPONSIVE_POLL_MS: DurationMs = DurationMs(250);
 
-/// The same for a worker without runs: no lease has to be renewed, and each poll is charged.
+/// Pause between polls of an unresponsive worker without runs: no lease needs renewal, and polls are charged.
 const UNRESPONSIVE_IDLE_POLL_MS: DurationMs = DurationMs(1_000);
 
 impl Coordinator {
--- a/ragwortwick-area/src/recovery.rs
+++ b/ragwortwick-area/src/recovery.rs
@@ -54,7 +54,7 @@
         }
         self.jobs.insert(job_id.clone(), job);
         if recovered.is_cancelled {
-            self.cancel(now.steady, &job_id);
+            self.cancel_job(now.steady, &job_id);
         }
     }
 }
--- a/ragwortwick-area/src/run_ends.rs
+++ b/ragwortwick-area/src/run_ends.rs
@@ -185,10 +185,10 @@
                 let is_unresponsive = worker.is_unresponsive() || worker.entry.address.is_empty();
                 // Both times run in parallel: a new coordinator's bound on leases is long, and clients would
                 // otherwise wait for a departed worker about twice as long.
-                let abandoned_at = worker
+                let abandon_at = worker
                     .lease_expires_by
                     .max(worker.lease_sent_at + RECONNECT_GRACE_MS);
-                is_unresponsive && !worker.allocations.is_empty() && now >= abandoned_at
+                is_unresponsive && !worker.allocations.is_empty() && now >= abandon_at
             })
             .map(|(name, _)| name.clone())
             .collect();
@@ -198,7 +198,7 @@
     }
 
     /// Processes the reply to a poll: run ends, runs in progress, and runs that no longer exist.
-    pub(crate) fn on_poll_reply(
+    pub(crate) fn on_poll_replied(
         &mut self,
         now: TimeMs,
         worker_name: &WorkerName,
--- a/ragwortwick-area/src/worker.rs
+++ b/ragwortwick-area/src/worker.rs
@@ -42,7 +42,7 @@
     pub(crate) leaves_at: Option<TimeMs>,
     pub(crate) allocations: BTreeMap<TaskId, Allocation>,
     /// Resources of all allocations.
-    used: Resources,
+    allocated: Resources,
     /// Resources of untracked runs as of the last report.
     pub(crate) untracked: Resources,
     /// The worker's clock as last reported, and when the report arrived.
@@ -81,7 +81,7 @@
             is_listed: true,
             leaves_at: None,
             allocations: BTreeMap::new(),
-            used: Resources::default(),
+            allocated: Resources::default(),
             untracked: Resources::default(),
             clock: None,
             lease_expires_by: now,
@@ -182,27 +182,27 @@
     }
 
     pub(crate) fn allocate(&mut self, task: TaskId, allocation: Allocation) {
-        self.used = self.used.plus(allocation.resources);
+        self.allocated = self.allocated.plus(allocation.resources);
         self.allocations.insert(task, allocation);
     }
 
     pub(crate) fn release(&mut self, task: &TaskId) -> Option<Allocation> {
         let allocation = self.allocations.remove(task)?;
-        self.used = self.used.saturating_sub(allocation.resources);
+        self.allocated = self.allocated.saturating_sub(allocation.resources);
         Some(allocation)
     }
 
     pub(crate) fn free(&self) -> Resources {
-        self.entry.capacity.saturating_sub(self.allocated())
+        self.entry.capacity.saturating_sub(self.occupied())
     }
 
-    fn allocated(&self) -> Resources {
-        self.used.plus(self.untracked)
+    fn occupied(&self) -> Resources {
+        self.allocated.plus(self.untracked)
     }
 
     /// Resources allocated beyond the capacity, which may have shrunk; stopping runs are included.
     pub(crate) fn overcommitted(&self) -> Resources {
-        self.allocated().saturating_sub(self.entry.capacity)
+        self.occupied().saturating_sub(self.entry.capacity)
     }
 
     /// Whether new work may be placed on the worker.
@@ -217,9 +217,10 @@
     }
 
     /// Whether a poll is needed: for tracked or untracked runs, to acknowledge run ends, or to find out
-    /// whether a listed worker is reachable again. Only a successful poll ends a contact loss, and an
-    /// unresponsive worker gets no work: after a partition longer than all leases no worker would ever get
-    /// work again.
+    /// whether a listed worker is reachable again.
+    ///
+    /// Only a successful poll ends a contact loss, and an unresponsive worker gets no work. Without these
+    /// polls no worker would ever get work again after a network partition longer than all leases.
     pub(crate) fn needs_poll(&self) -> bool {
         let has_run = self
             .allocations
@@ -231,7 +232,7 @@
             || (self.is_unresponsive() && self.is_listed)
     }
 
-    /// Whether run ends were processed but are not stored; a poll would return the same ends again at once.
+    /// Whether processed run ends are not stored yet; a poll would return them again at once.
     pub(crate) fn has_unstored_ends(&self) -> bool {
         self.received_end > self.stored_end
     }
--- a/ragwortwick-area/tests/late_ends.rs
+++ b/ragwortwick-area/tests/late_ends.rs
@@ -15,13 +15,14 @@
 }
 
 impl AbandonedRuns {
-    /// Starts the tasks of a step on the first worker and lets it be unresponsive until its runs are
-    /// abandoned.
+    /// Starts a job on the first worker, which is then unresponsive until its runs are abandoned.
+    ///
+    /// The other workers join afterwards.
     fn new(workers: &[&str], spec: StepSpec) -> Self {
         Self::with_steps(workers, vec![spec])
     }
 
-    /// The same for a job of several steps; the other workers join afterwards.
+    /// The same for a job of several steps.
     fn with_steps(workers: &[&str], steps: Vec<StepSpec>) -> Self {
         let entries: Vec<_> = workers.iter().map(|name| worker(name, "r1")).collect();
         let mut rig = Rig::new(&entries[..1]);
@@ -42,7 +43,7 @@
     /// The first worker is reachable again and reports that its runs had completed.
     fn report_completions(&mut self) {
         let ends = (1..).zip(&self.starts);
-        let ends = ends.map(|(number, start)| ended(number, start, EndKind::Done));
+        let ends = ends.map(|(sequence, start)| ended(sequence, start, EndKind::Done));
         let ends = ends.collect();
         self.rig.poll_reply(self.starts[0].0.as_str(), vec![], ends);
     }
@@ -121,7 +122,7 @@
     assert_eq!(scenario.rig.start_all().len(), 1, "the next step starts");
     scenario.rig.store_batches();
     let ends = (11..).zip(&scenario.starts);
-    let ends = ends.map(|(number, start)| ended(number, start, EndKind::Done));
+    let ends = ends.map(|(sequence, start)| ended(sequence, start, EndKind::Done));
     let ends = ends.collect();
     scenario.rig.stops();
     scenario.rig.poll_reply("w1", vec![], ends);
--- a/ragwortwick-standin/src/area/advisor.rs
+++ b/ragwortwick-standin/src/area/advisor.rs
@@ -14,7 +14,7 @@
 use ragwortwick_http::{Server, ServerOptions, json_response, read_json};
 use serde_json::{Value, json};
 
-use super::workers::PoolShared;
+use super::workers::SharedPool;
 use crate::now;
 
 /// Delay before a response is sent.
@@ -28,14 +28,14 @@
 
 #[derive(Clone, Debug, StateData)]
 struct Advisor {
-    pool: PoolShared,
+    pool: SharedPool,
 }
 
 // gotham requires this marker trait; a panic in a test double fails its test anyway.
 impl RefUnwindSafe for Advisor {}
 
 /// Starts the advisor of a worker pool on a free loopback port.
-pub(super) async fn bind(pool: PoolShared) -> io::Result<Server> {
+pub(super) async fn bind(pool: SharedPool) -> io::Result<Server> {
     let advisor = Advisor { pool };
     let (chain, pipelines) = single_pipeline(single_middleware(StateMiddleware::new(advisor)));
     let router = build_router(chain, pipelines, |route| {
--- a/ragwortwick-standin/src/area/store.rs
+++ b/ragwortwick-standin/src/area/store.rs
@@ -147,17 +147,17 @@
     }
 }
 
-/// `KvShared` is the store state shared by the request handlers.
+/// `SharedKv` is the store state shared by the request handlers.
 #[derive(Clone, Debug, StateData)]
-pub(super) struct KvShared {
+pub(super) struct SharedKv {
     kv: Arc<Mutex<Kv>>,
     pub(super) changed: watch::Sender<u64>,
 }
 
 // gotham requires this marker trait; a panic in a test double fails its test anyway.
-impl RefUnwindSafe for KvShared {}
+impl RefUnwindSafe for SharedKv {}
 
-impl KvShared {
+impl SharedKv {
     /// Runs a closure on the store content and wakes the watches if the content or the fault changed.
     pub(super) fn with<R>(&self, operation: impl FnOnce(&mut Kv) -> R) -> R {
         let mut kv = lock(&self.kv);
@@ -175,7 +175,7 @@
 /// `AreaStore` serves the store protocol of an area over HTTP.
 #[derive(Debug)]
 pub struct AreaStore {
-    shared: KvShared,
+    shared: SharedKv,
     server: Server,
     lease_checks: JoinHandle<()>,
 }
@@ -187,7 +187,7 @@
     ///
     /// Fails if the address can't be bound.
     pub async fn bind(address: &str) -> io::Result<Self> {
-        let shared = KvShared {
+        let shared = SharedKv {
             kv: Arc::default(),
             changed: watch::Sender::new(0),
         };
--- a/ragwortwick-standin/src/area/store_routes.rs
+++ b/ragwortwick-standin/src/area/store_routes.rs
@@ -19,7 +19,7 @@
 use serde_json::{Value, json};
 use tokio::time::timeout;
 
-use super::store::{Kv, KvItem, KvShared, StoreFault};
+use super::store::{Kv, KvItem, SharedKv, StoreFault};
 use crate::now;
 
 /// Maximum number of conditions, puts and removes in a transaction.
@@ -31,7 +31,7 @@
 /// Maximum size of a request body.
 const MAX_BODY_BYTES: usize = 4 << 20;
 
-pub(super) fn router(shared: KvShared) -> Router {
+pub(super) fn router(shared: SharedKv) -> Router {
     let (chain, pipelines) = single_pipeline(single_middleware(StateMiddleware::new(shared)));
     build_router(chain, pipelines, |route| {
         route.get("/kv-key").to_async_borrowing(key);
@@ -48,33 +48,25 @@
 
 /// Applies the simulated fault: returns an error response if the store is unavailable, and waits while it
 /// is unresponsive.
-async fn apply_fault(state: &mut State) -> Result<KvShared, Response<Body>> {
-    let shared = KvShared::borrow_from(state).clone();
+async fn apply_fault(state: &mut State) -> Result<SharedKv, Response<Body>> {
+    let shared = SharedKv::borrow_from(state).clone();
     let mut changed = shared.changed.subscribe();
     loop {
         match shared.with(|kv| kv.fault) {
             StoreFault::Unresponsive => {
                 if changed.changed().await.is_err() {
-                    return Err(json_reply(
-                        state,
-                        StatusCode::SERVICE_UNAVAILABLE,
-                        &json!({}),
-                    ));
+                    return Err(respond(state, StatusCode::SERVICE_UNAVAILABLE, &json!({})));
                 }
             }
             StoreFault::Unavailable => {
-                return Err(json_reply(
-                    state,
-                    StatusCode::SERVICE_UNAVAILABLE,
-                    &json!({}),
-                ));
+                return Err(respond(state, StatusCode::SERVICE_UNAVAILABLE, &json!({})));
             }
             StoreFault::None | StoreFault::DropsReplies => return Ok(shared),
         }
     }
 }
 
-fn json_reply(state: &State, status: StatusCode, body: &Value) -> Response<Body> {
+fn respond(state: &State, status: StatusCode, body: &Value) -> Response<Body> {
     json_response(state, status, body)
 }
 
@@ -110,8 +102,8 @@
     let name = query.get("Key").cloned().unwrap_or_default();
     let found = shared.with(|kv| kv.items.get(&name).map(|item| item_json(&name, item)));
     Ok(match found {
-        Some(item) => json_reply(state, StatusCode::OK, &item),
-        None => json_reply(state, StatusCode::NOT_FOUND, &json!({})),
+        Some(item) => respond(state, StatusCode::OK, &item),
+        None => respond(state, StatusCode::NOT_FOUND, &json!({})),
     })
 }
 
@@ -137,7 +129,7 @@
         let is_truncated = matching.count() > MAX_PAGE_ITEMS;
         json!({"items": items, "Truncated": is_truncated, "AsOf": kv.revision})
     });
-    Ok(json_reply(state, StatusCode::OK, &body))
+    Ok(respond(state, StatusCode::OK, &body))
 }
 
 async fn watch(state: &mut State) -> SimpleHandlerResult {
@@ -161,12 +153,12 @@
         }
         let (is_compacted, events, as_of) = shared.with(|kv| events_after(kv, &prefix, after));
         if is_compacted {
-            return Ok(json_reply(state, StatusCode::GONE, &json!({})));
+            return Ok(respond(state, StatusCode::GONE, &json!({})));
         }
         let remaining_ms = deadline.since(now());
         if !events.is_empty() || remaining_ms == DurationMs(0) {
             let body = json!({"events": events, "AsOf": as_of});
-            return Ok(json_reply(state, StatusCode::OK, &body));
+            return Ok(respond(state, StatusCode::OK, &body));
         }
         // Checks again after a change or at the deadline.
         drop(timeout(remaining_ms.into(), changed.changed()).await);
@@ -204,7 +196,7 @@
     if is_reply_dropped {
         std::future::pending::<()>().await;
     }
-    Ok(json_reply(state, status, &body))
+    Ok(respond(state, status, &body))
 }
 
 fn rows<'a>(body: &'a Value, name: &str) -> Vec<&'a Value> {
@@ -276,7 +268,7 @@
     let ttl_ms = body["TtlMs"].as_u64().unwrap_or(1_000);
     let lease = shared.with(|kv| kv.grant_lease(now(), DurationMs(ttl_ms)));
     let body = json!({"Lease": lease, "TtlMs": ttl_ms});
-    Ok(json_reply(state, StatusCode::OK, &body))
+    Ok(respond(state, StatusCode::OK, &body))
 }
 
 /// Returns the lease id in the last segment of the request path.
@@ -293,8 +285,8 @@
     };
     let id = lease_id(state);
     Ok(match shared.with(|kv| kv.renew_lease(now(), id)) {
-        Some(ttl_ms) => json_reply(state, StatusCode::OK, &json!({"TtlMs": ttl_ms.0})),
-        None => json_reply(state, StatusCode::NOT_FOUND, &json!({})),
+        Some(ttl_ms) => respond(state, StatusCode::OK, &json!({"TtlMs": ttl_ms.0})),
+        None => respond(state, StatusCode::NOT_FOUND, &json!({})),
     })
 }
 
@@ -305,5 +297,5 @@
     };
     let id = lease_id(state);
     shared.with(|kv| kv.revoke_lease(id));
-    Ok(json_reply(state, StatusCode::OK, &json!({})))
+    Ok(respond(state, StatusCode::OK, &json!({})))
 }
--- a/ragwortwick-standin/src/area/worker_routes.rs
+++ b/ragwortwick-standin/src/area/worker_routes.rs
@@ -15,15 +15,15 @@
 use tokio::time::timeout;
 
 use super::workers::{
-    MAX_LEASE_MS, OneWorker, Payload, PoolState, RunningTask, StartedRun, step_of,
+    MAX_LEASE_MS, Payload, PoolState, RunningTask, StartedRun, WorkerContext, step_of,
 };
 use crate::now;
 
 /// Maximum size of a request body.
 const MAX_BODY_BYTES: usize = 1 << 20;
 
-pub(super) fn router(one: OneWorker) -> Router {
-    let (chain, pipelines) = single_pipeline(single_middleware(StateMiddleware::new(one)));
+pub(super) fn router(context: WorkerContext) -> Router {
+    let (chain, pipelines) = single_pipeline(single_middleware(StateMiddleware::new(context)));
     build_router(chain, pipelines, |route| {
         route.post("/run-start").to_async_borrowing(start);
         route.post("/run-stop").to_async_borrowing(stop);
@@ -35,21 +35,21 @@
 /// Reads a request body if the request is addressed to the current incarnation of this worker.
 ///
 /// An unresponsive worker does not proceed until that fault is cleared.
-async fn read_request(state: &mut State) -> Result<(OneWorker, Value), Response<Body>> {
-    let one = OneWorker::borrow_from(state).clone();
-    let mut changed = one.pool.changed.subscribe();
-    while one.pool.with(|pool| {
+async fn read_request(state: &mut State) -> Result<(WorkerContext, Value), Response<Body>> {
+    let context = WorkerContext::borrow_from(state).clone();
+    let mut changed = context.pool.changed.subscribe();
+    while context.pool.with(|pool| {
         pool.workers
-            .get(&one.name)
+            .get(&context.name)
             .is_some_and(|worker| worker.is_unresponsive)
     }) {
         changed.mark_unchanged();
         drop(timeout(DurationMs(50).into(), changed.changed()).await);
     }
     let target = HeaderMap::borrow_from(state).get("x-target-instance");
-    let instance = one.pool.with(|pool| {
-        let worker = pool.workers.get(&one.name);
-        worker.map_or_else(String::new, |worker| worker.instance_name(&one.name))
+    let instance = context.pool.with(|pool| {
+        let worker = pool.workers.get(&context.name);
+        worker.map_or_else(String::new, |worker| worker.instance_name(&context.name))
     });
     if target.is_some_and(|target| target != instance.as_str()) {
         return Err(json_response(
@@ -59,7 +59,7 @@
         ));
     }
     match read_json::<Value>(state, MAX_BODY_BYTES).await {
-        Ok(body) => Ok((one, body)),
+        Ok(body) => Ok((context, body)),
         Err(refusal) => Err(refusal.into_response(state)),
     }
 }
@@ -82,11 +82,13 @@
 }
 
 async fn start(state: &mut State) -> SimpleHandlerResult {
-    let (one, body) = match read_request(state).await {
+    let (context, body) = match read_request(state).await {
         Ok(request) => request,
         Err(response) => return Ok(response),
     };
-    let reason = one.pool.with(|pool| start_run(pool, &one.name, &body));
+    let reason = context
+        .pool
+        .with(|pool| start_run(pool, &context.name, &body));
     let clock_ms = now().0;
     Ok(match reason {
         None => json_response(state, StatusCode::OK, &json!({"ClockMs": clock_ms})),
@@ -162,17 +164,17 @@
 }
 
 async fn stop(state: &mut State) -> SimpleHandlerResult {
-    let (one, body) = match read_request(state).await {
+    let (context, body) = match read_request(state).await {
         Ok(request) => request,
         Err(response) => return Ok(response),
     };
-    let is_refused = one.pool.with(|pool| {
-        if is_fenced(pool, &one.name, &body) {
+    let is_refused = context.pool.with(|pool| {
+        if is_fenced(pool, &context.name, &body) {
             return true;
         }
         let task = body["Task"].as_str().unwrap_or_default();
         let run = body["Run"].as_u64().unwrap_or(0);
-        if let Some(worker) = pool.workers.get_mut(&one.name) {
+        if let Some(worker) = pool.workers.get_mut(&context.name) {
             worker.end_run(task, "stopped");
             let last_ended = worker.last_ended.entry(task.to_owned()).or_insert(0);
             *last_ended = (*last_ended).max(run);
@@ -189,16 +191,16 @@
 }
 
 async fn pace(state: &mut State) -> SimpleHandlerResult {
-    let (one, body) = match read_request(state).await {
+    let (context, body) = match read_request(state).await {
         Ok(request) => request,
         Err(response) => return Ok(response),
     };
-    let status = one.pool.with(|pool| {
-        if is_fenced(pool, &one.name, &body) {
+    let status = context.pool.with(|pool| {
+        if is_fenced(pool, &context.name, &body) {
             return StatusCode::CONFLICT;
         }
         let task = body["Task"].as_str().unwrap_or_default();
-        let worker = pool.workers.get_mut(&one.name);
+        let worker = pool.workers.get_mut(&context.name);
         if let Some(run) = worker.and_then(|worker| worker.running.get_mut(task)) {
             run.pace_percent = body["Percent"].as_u64().unwrap_or(100);
         }
@@ -208,17 +210,17 @@
 }
 
 async fn poll(state: &mut State) -> SimpleHandlerResult {
-    let (one, body) = match read_request(state).await {
+    let (context, body) = match read_request(state).await {
         Ok(request) => request,
         Err(response) => return Ok(response),
     };
     let acked_end = body["LastSeen"].as_u64().unwrap_or(0);
     let deadline = now() + DurationMs(body["WaitMs"].as_u64().unwrap_or(0));
-    let is_refused = one.pool.with(|pool| {
-        if is_fenced(pool, &one.name, &body) {
+    let is_refused = context.pool.with(|pool| {
+        if is_fenced(pool, &context.name, &body) {
             return true;
         }
-        if let Some(worker) = pool.workers.get_mut(&one.name) {
+        if let Some(worker) = pool.workers.get_mut(&context.name) {
             worker.ended.retain(|end| end.0 > acked_end);
         }
         false
@@ -227,11 +229,11 @@
         let body = json!({"ClockMs": now().0, "Reason": "fence"});
         return Ok(json_response(state, StatusCode::CONFLICT, &body));
     }
-    let mut changed = one.pool.changed.subscribe();
+    let mut changed = context.pool.changed.subscribe();
     loop {
         changed.mark_unchanged();
-        let report = one.pool.with(|pool| {
-            let worker = pool.workers.get(&one.name)?;
+        let report = context.pool.with(|pool| {
+            let worker = pool.workers.get(&context.name)?;
             let is_due = !worker.ended.is_empty() || now() >= deadline;
             is_due.then(|| worker.report())
         });
--- a/ragwortwick-standin/src/area/workers.rs
+++ b/ragwortwick-standin/src/area/workers.rs
@@ -156,24 +156,24 @@
     pub(super) starts_without_ticket: usize,
 }
 
-/// `PoolShared` is the pool state shared by the request handlers of all workers.
+/// `SharedPool` is the pool state shared by the request handlers of all workers.
 #[derive(Clone, Debug)]
-pub(super) struct PoolShared {
+pub(super) struct SharedPool {
     pool: Arc<Mutex<PoolState>>,
     pub(super) changed: watch::Sender<u64>,
 }
 
-/// `OneWorker` is the state of the request handlers of one worker.
+/// `WorkerContext` is the state of the request handlers of one worker.
 #[derive(Clone, Debug, StateData)]
-pub(super) struct OneWorker {
+pub(super) struct WorkerContext {
     pub(super) name: String,
-    pub(super) pool: PoolShared,
+    pub(super) pool: SharedPool,
 }
 
 // gotham requires this marker trait; a panic in a test double fails its test anyway.
-impl RefUnwindSafe for OneWorker {}
+impl RefUnwindSafe for WorkerContext {}
 
-impl PoolShared {
+impl SharedPool {
     /// Runs a closure on the pool state and wakes waiting requests.
     pub(super) fn with<R>(&self, operation: impl FnOnce(&mut PoolState) -> R) -> R {
         let result = operation(&mut lock(&self.pool));
@@ -250,7 +250,7 @@
 /// `AreaWorkers` runs a pool of test workers, each on its own address.
 #[derive(Debug)]
 pub struct AreaWorkers {
-    shared: PoolShared,
+    shared: SharedPool,
     servers: Vec<(String, Server)>,
     /// Relay in front of each worker, in the order of the workers.
     relays: Vec<Relay>,
@@ -265,7 +265,7 @@
     ///
     /// Fails if no port is free.
     pub async fn spawn(count: usize, store: &AreaStore) -> io::Result<Self> {
-        let shared = PoolShared {
+        let shared = SharedPool {
             pool: Arc::default(),
             changed: watch::Sender::new(0),
         };
@@ -273,11 +273,11 @@
         let mut relays = Vec::new();
         for number in 0..count {
             let name = format!("w-{number}");
-            let one = OneWorker {
+            let context = WorkerContext {
                 name: name.clone(),
                 pool: shared.clone(),
             };
-            let router = worker_routes::router(one);
+            let router = worker_routes::router(context);
             let server = Server::bind("127.0.0.1:0", router, ServerOptions::default()).await?;
             shared.with(|pool| {
                 pool.workers.insert(name.clone(), WorkerState::default());
