--- a/ragwortwick-area/src/accounting.rs
+++ b/ragwortwick-area/src/accounting.rs
@@ -1,4 +1,4 @@
-//! What became of a job under one coordinator: what it waited for, and what its stops cost.
+//! Accounting of one job under one coordinator: how long it spent in each phase, and the work it lost.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -7,40 +7,40 @@
 
 use crate::losses::WorkerLossCause;
 
-/// `RunEndReason` is how a run came to be over.
+/// `RunEndReason` is why a run ended.
 #[common(key)]
 pub enum RunEndReason {
     /// It did its work.
     Done,
     /// It failed.
     Failed,
-    /// It was told to stop: its room goes to other work.
+    /// It was stopped: its resources go to other work that preempted it.
     Displaced,
-    /// It was told to stop: its worker leaves.
+    /// It was stopped: its worker is about to leave.
     WorkerLeaves,
-    /// It was told to stop: it stood still.
+    /// It was stopped: it was stalled.
     Stalled,
-    /// It was told to stop: another member of its gang has ended.
+    /// It was stopped: another member of its gang had ended.
     GangEnded,
-    /// It was told to stop: an earlier run, given up before, had done the work.
+    /// It was stopped: an earlier run, abandoned before, had done the work.
     DoneBefore,
-    /// It was told to stop: its job is over.
+    /// It was stopped: its job had ended.
     JobOver,
-    /// It was told to stop: whether it ever began was in doubt.
+    /// It was stopped: it was unknown whether its start had been carried out.
     StartInDoubt,
-    /// Its worker's address answers as another life, and the worker had not said that it would leave.
+    /// Its worker crashed: another incarnation replies at its address, and it had not announced to leave.
     WorkerCrashed,
-    /// Its worker had said that it would leave, and is gone.
+    /// Its worker left, as it had announced.
     WorkerLeft,
-    /// Its worker no longer answers, and every lease there has run out.
+    /// Its worker is unresponsive, and every lease granted there has expired.
     WorkerSilent,
-    /// It never began, or its worker no longer has it.
+    /// It never started, or its worker no longer has it.
     NotThere,
 }
 
 impl From<WorkerLossCause> for RunEndReason {
-    fn from(loss: WorkerLossCause) -> Self {
-        match loss {
+    fn from(cause: WorkerLossCause) -> Self {
+        match cause {
             WorkerLossCause::Crashed => Self::WorkerCrashed,
             WorkerLossCause::Left => Self::WorkerLeft,
             WorkerLossCause::OutOfReach => Self::WorkerSilent,
@@ -54,64 +54,64 @@
     }
 }
 
-/// `LostWork` is what runs that were over without having done their work had taken.
+/// `LostWork` sums the runs that ended before their work was done.
 #[common]
 #[derive(Copy, Default)]
 pub struct LostWork {
     /// Number of runs.
     pub runs: u32,
-    /// Work that has to be done again, in core-equivalents times milliseconds.
+    /// Work that has to be repeated, in core-equivalents times milliseconds.
     pub core_ms: u64,
 }
 
-/// What a job is doing, for the account of its time.
+/// Phase of a job that its time is counted for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// Nothing of it is placed, and nothing ever was.
-    New,
-    /// Nothing of it is placed any more.
-    Again,
-    /// Something is placed, and no worker has confirmed it.
-    Beginning,
+    /// No run has been placed yet.
+    Queued,
+    /// Runs were placed before, and none is now.
+    Requeued,
+    /// A run is placed, and no worker has confirmed one.
+    Starting,
     /// A worker has confirmed a run.
     Running,
-    /// It is over.
-    Over,
+    /// The job has ended.
+    Ended,
 }
 
-/// `JobAccounting` tells how a job spent its time under one coordinator.
+/// `JobAccounting` holds how a job spent its time under one coordinator.
 ///
-/// The four spans follow one another and add up to the time from acceptance, or from the beginning of the
-/// term, to the end. A job with set times also spends the time between them as `again_ms`.
+/// The four phases follow one another; their times add up to the time from acceptance, or from the start
+/// of the term, to the end. For a job with a schedule, `requeued_ms` includes the time between occurrences.
 #[common]
 pub struct JobAccounting {
     /// Whether this coordinator knew the job from its acceptance.
     pub is_complete: bool,
-    /// Time before its first run was placed.
+    /// Time before the first run was placed.
     pub queued_ms: DurationMs,
-    /// Later time in which nothing of it was placed.
+    /// Later time in which no run was placed.
     pub requeued_ms: DurationMs,
-    /// Time in which something was placed and no worker had confirmed it.
+    /// Time in which a run was placed and no worker had confirmed one.
     pub starting_ms: DurationMs,
-    /// Time from the first run that a worker confirmed until nothing was placed any more.
+    /// Time from the first run that a worker confirmed until no run was placed any more.
     pub running_ms: DurationMs,
-    /// Part of `run_ms` whose work had to be done again by the whole job.
+    /// Part of `running_ms` whose work the whole job had to repeat.
     pub lost_ms: DurationMs,
-    /// Runs that were placed.
+    /// Number of runs that were placed.
     pub starts: u32,
-    /// Runs over without having done their work, by cause.
+    /// Runs that ended before their work was done, by reason.
     pub lost_work: BTreeMap<RunEndReason, LostWork>,
-    /// The job that took its room last.
+    /// The job that preempted it last.
     pub preempted_by: Option<JobId>,
-    /// The longest that a run was in vain since something was placed last.
-    vain_ms: DurationMs,
+    /// Longest lost time of a run since the job last had no run placed.
+    wasted_ms: DurationMs,
     stage: Stage,
-    since: TimeMs,
+    stage_since: TimeMs,
 }
 
 impl JobAccounting {
-    /// `new` opens the account of a job that may start at the given time.
-    pub(crate) fn new(since: TimeMs) -> Self {
+    /// `new` starts the accounting of a job that may start at the given time.
+    pub(crate) fn new(start_at: TimeMs) -> Self {
         Self {
             is_complete: true,
             queued_ms: DurationMs(0),
@@ -122,68 +122,77 @@
             starts: 0,
             lost_work: BTreeMap::new(),
             preempted_by: None,
-            vain_ms: DurationMs(0),
-            stage: Stage::New,
-            since,
+            wasted_ms: DurationMs(0),
+            stage: Stage::Queued,
+            stage_since: start_at,
         }
     }
 
-    /// `recovered` opens the account of a job that an earlier coordinator accounted for until now.
+    /// `recovered` starts the accounting of a job that an earlier coordinator accounted for until now.
     pub(crate) fn recovered(now: TimeMs, has_run: bool) -> Self {
         Self {
             is_complete: false,
-            stage: if has_run { Stage::Running } else { Stage::New },
+            stage: if has_run {
+                Stage::Running
+            } else {
+                Stage::Queued
+            },
             ..Self::new(now)
         }
     }
 
-    fn enter(&mut self, now: TimeMs, stage: Stage) {
-        let spent_ms = now.since(self.since);
-        let total = match self.stage {
-            Stage::New => &mut self.queued_ms,
-            Stage::Again => &mut self.requeued_ms,
-            Stage::Beginning => &mut self.starting_ms,
+    fn enter_stage(&mut self, now: TimeMs, stage: Stage) {
+        let spent_ms = now.since(self.stage_since);
+        let total_ms = match self.stage {
+            Stage::Queued => &mut self.queued_ms,
+            Stage::Requeued => &mut self.requeued_ms,
+            Stage::Starting => &mut self.starting_ms,
             Stage::Running => &mut self.running_ms,
-            Stage::Over => return,
+            Stage::Ended => return,
         };
-        *total = *total + spent_ms;
+        *total_ms = *total_ms + spent_ms;
         self.stage = stage;
-        self.since = self.since.max(now);
+        self.stage_since = self.stage_since.max(now);
     }
 
     /// `on_placed` records that a run was placed.
     pub(crate) fn on_placed(&mut self, now: TimeMs) {
         self.starts += 1;
-        if matches!(self.stage, Stage::New | Stage::Again) {
-            self.enter(now, Stage::Beginning);
+        if matches!(self.stage, Stage::Queued | Stage::Requeued) {
+            self.enter_stage(now, Stage::Starting);
         }
     }
 
     /// `on_confirmed` records that a worker confirmed a run.
     pub(crate) fn on_confirmed(&mut self, now: TimeMs) {
-        if self.stage == Stage::Beginning {
-            self.enter(now, Stage::Running);
+        if self.stage == Stage::Starting {
+            self.enter_stage(now, Stage::Running);
         }
     }
 
-    /// `on_run_lost` records a run that is over without having done its work, after so long in vain.
-    pub(crate) fn on_run_lost(&mut self, why: RunEndReason, vain_ms: DurationMs, core_ms: u64) {
-        let loss = self.lost_work.entry(why).or_default();
-        loss.runs += 1;
-        loss.core_ms += core_ms;
-        self.vain_ms = self.vain_ms.max(vain_ms);
+    /// `on_run_lost` records a run that ended before its work was done, with its lost time and work.
+    pub(crate) fn on_run_lost(
+        &mut self,
+        reason: RunEndReason,
+        wasted_ms: DurationMs,
+        core_ms: u64,
+    ) {
+        let lost = self.lost_work.entry(reason).or_default();
+        lost.runs += 1;
+        lost.core_ms += core_ms;
+        self.wasted_ms = self.wasted_ms.max(wasted_ms);
     }
 
-    /// `on_idle` records that nothing of the job is placed any more.
+    /// `on_idle` records that no run of the job is placed any more.
     pub(crate) fn on_idle(&mut self, now: TimeMs) {
-        self.lost_ms = self.lost_ms + std::mem::take(&mut self.vain_ms);
-        if matches!(self.stage, Stage::Beginning | Stage::Running) {
-            self.enter(now, Stage::Again);
+        self.lost_ms = self.lost_ms + std::mem::take(&mut self.wasted_ms);
+        if matches!(self.stage, Stage::Starting | Stage::Running) {
+            self.enter_stage(now, Stage::Requeued);
         }
     }
 
-    /// `on_job_ended` records that the job is over.
+    /// `on_job_ended` records that the job has ended.
     pub(crate) fn on_job_ended(&mut self, now: TimeMs) {
-        self.enter(now, Stage::Over);
+        self.enter_stage(now, Stage::Ended);
     }
 }
--- a/ragwortwick-area/src/desired.rs
+++ b/ragwortwick-area/src/desired.rs
@@ -1,4 +1,4 @@
-//! The desired state that operators put in force: queues, customers and limits.
+//! The desired state that operators configure: queues, customers and limits.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,43 +7,43 @@
 
 use crate::job::QueuePolicy;
 
-/// `DesiredState` is one version of the operators' configuration.
+/// `DesiredState` is one version of the configuration that operators set.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DesiredState {
-    /// Number of the version; it only rises.
+    /// Version number; it only increases.
     pub version: u64,
     /// Queues by name.
     pub queues: BTreeMap<ClassName, Queue>,
     /// Customers by name.
     pub customers: BTreeMap<CustomerName, Customer>,
-    /// Largest request body.
+    /// Maximum size of a request body.
     pub max_body_bytes: Option<usize>,
 }
 
-/// `Queue` tells where a queue's jobs come in and how they are run.
+/// `Queue` holds the route on which a queue receives its jobs and the policy that runs them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Queue {
-    /// Name in the `Host` header of its requests.
+    /// Value of the `Host` header of its requests.
     pub host: Arc<str>,
-    /// Beginning of its paths.
+    /// Prefix of the paths of its requests.
     pub path_prefix: Arc<str>,
     /// How its jobs are run.
     pub policy: QueuePolicy,
-    /// Whether calls need no key.
+    /// Whether requests need no API key.
     pub is_public: bool,
 }
 
-/// `Customer` holds keys and a guaranteed share.
+/// `Customer` holds the API keys and the guaranteed share of a customer.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Customer {
-    /// Keys that its callers present.
+    /// API keys of its callers.
     pub api_keys: Vec<Arc<str>>,
     /// Accelerators that its jobs of priority 0 can always reclaim.
     pub guaranteed_accelerators: u64,
 }
 
 impl DesiredState {
-    /// `route` finds the queue of a call: the longest prefix on the call's host name.
+    /// `route` finds the queue for a request: the one with the longest matching prefix on its host name.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<(&ClassName, &Queue)> {
         self.queues
@@ -52,7 +52,7 @@
             .max_by_key(|(_, queue)| queue.path_prefix.len())
     }
 
-    /// `customer_of_key` finds who holds a key.
+    /// `customer_of_key` finds the customer that holds an API key.
     #[must_use]
     pub fn customer_of_key(&self, key: &str) -> Option<&CustomerName> {
         self.customers
--- a/ragwortwick-area/src/job.rs
+++ b/ragwortwick-area/src/job.rs
@@ -1,4 +1,4 @@
-//! A job as its customer declares it: a graph of steps, each of many tasks.
+//! A job as its customer declares it: a graph of steps, each with one or more tasks.
 
 use std::fmt;
 use std::sync::Arc;
@@ -8,20 +8,20 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// `Resources` is an amount of what a worker has and a task needs.
+/// `Resources` is an amount of each resource that a worker offers or a task requires.
 #[common(key)]
 #[derive(Default, Serialize, Deserialize)]
 pub struct Resources {
-    /// Processor time, in thousandths of a core.
+    /// Processor share in thousandths of a core.
     pub cpu_millis: u64,
-    /// Memory.
+    /// Memory in megabytes.
     pub memory_mb: u64,
-    /// Whole accelerators.
+    /// Number of whole accelerators.
     pub accelerators: u64,
 }
 
 impl Resources {
-    /// `plus` adds two amounts.
+    /// `plus` adds another amount per resource.
     #[must_use]
     pub fn plus(self, other: Self) -> Self {
         Self {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// `saturating_sub` takes away another amount, down to zero.
+    /// `saturating_sub` subtracts another amount per resource, stopping at zero.
     #[must_use]
     pub fn saturating_sub(self, other: Self) -> Self {
         Self {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// `component_min` gives the lesser of two amounts, of each resource.
+    /// `component_min` returns the lesser amount of each resource.
     #[must_use]
     pub fn component_min(self, other: Self) -> Self {
         Self {
@@ -51,13 +51,13 @@
         }
     }
 
-    /// `is_zero` tells whether there is none of any resource.
+    /// `is_zero` reports whether the amount of every resource is zero.
     #[must_use]
     pub fn is_zero(self) -> bool {
         self == Self::default()
     }
 
-    /// `scaled` multiplies the amount.
+    /// `scaled` multiplies the amount of each resource by a count.
     #[must_use]
     pub fn scaled(self, count: u64) -> Self {
         Self {
@@ -67,26 +67,27 @@
         }
     }
 
-    /// `task_capacity` counts how many tasks of the given need go into this amount.
+    /// `task_capacity` counts how many tasks with the given demand fit into this amount.
     #[must_use]
-    pub fn task_capacity(self, need: Self) -> u64 {
-        let part = |have: u64, want: u64| have.checked_div(want).unwrap_or(u64::MAX);
-        part(self.cpu_millis, need.cpu_millis)
-            .min(part(self.memory_mb, need.memory_mb))
-            .min(part(self.accelerators, need.accelerators))
+    pub fn task_capacity(self, demand: Self) -> u64 {
+        let tasks_by =
+            |available: u64, required: u64| available.checked_div(required).unwrap_or(u64::MAX);
+        tasks_by(self.cpu_millis, demand.cpu_millis)
+            .min(tasks_by(self.memory_mb, demand.memory_mb))
+            .min(tasks_by(self.accelerators, demand.accelerators))
     }
 
-    /// `core_equivalents` weighs the amount in cores, an accelerator as `CORES_PER_ACCELERATOR`.
+    /// `core_equivalents` converts the amount to cores, with `CORES_PER_ACCELERATOR` for an accelerator.
     #[must_use]
     pub fn core_equivalents(self) -> u64 {
         self.cpu_millis / 1_000 + self.accelerators * CORES_PER_ACCELERATOR
     }
 }
 
-/// What an accelerator counts for in cores when work is weighed.
+/// Cores that one accelerator counts as when amounts of work are compared.
 pub const CORES_PER_ACCELERATOR: u64 = 8;
 
-/// `StepSpec` declares one step: a number of alike tasks.
+/// `StepSpec` declares one step: a number of identical tasks.
 #[common(wire)]
 #[derive(Eq, Default)]
 #[serde(default)]
@@ -97,40 +98,40 @@
 pub struct StepSpec {
     /// Number of tasks.
     pub count: u32,
-    /// What one task needs.
+    /// Resources that one task requires.
     pub need: Resources,
-    /// Rough duration of one task, by the customer.
+    /// The customer's estimate of the duration of one task.
     pub estimate_ms: DurationMs,
-    /// Numbers of earlier steps that must be done before.
+    /// Numbers of the earlier steps that must be done first.
     pub after: Vec<u32>,
-    /// Whether the tasks work only together.
+    /// Whether the tasks form a gang: they run only all together.
     pub is_gang: bool,
-    /// Whether the tasks are slower on more than one rack.
+    /// Whether the tasks run slower when spread over more than one rack.
     pub wants_same_rack: bool,
     /// Label that the worker must have.
     pub required_label: Option<LabelName>,
-    /// Rack where the step's data is; the tasks are slower elsewhere.
+    /// Rack that holds the step's data; the tasks run slower on other racks.
     pub data_rack: Option<RackName>,
-    /// Most tasks of one occurrence on a worker.
+    /// Maximum number of tasks of one occurrence on one worker.
     pub max_per_worker: Option<u32>,
     /// Whether tasks save checkpoints.
     pub saves_checkpoints: bool,
-    /// Whether copies of a task may run in parallel.
+    /// Whether duplicates of a task may run in parallel.
     pub may_duplicate: bool,
     /// Whether the tasks run until the job is cancelled.
     pub is_long_running: bool,
-    /// Name of what the tasks run; tasks of one image behave alike.
+    /// Name of the image that the tasks run; tasks with the same image behave alike.
     pub image: Option<Arc<str>>,
-    /// Bound of the tail latency that a long-running task gives its own users.
+    /// Upper bound of the tail latency that a long-running task offers its own users.
     pub tail_target_ms: Option<DurationMs>,
-    /// Whether the tasks use only processor time that others leave unused.
+    /// Whether the tasks are fillers, which use only processor time that other tasks leave unused.
     pub is_filler: bool,
-    /// Tasks of a long-running step that may be away at once through our own actions.
+    /// Tasks of a long-running step that the scheduler may keep stopped at the same time.
     pub may_miss: Option<u32>,
 }
 
 impl StepSpec {
-    /// `placement_key` is what decides where a task fits, without what differs between alike jobs.
+    /// `placement_key` keeps what decides where a task fits and clears what differs between similar jobs.
     #[must_use]
     pub(crate) fn placement_key(&self) -> Self {
         Self {
@@ -141,11 +142,11 @@
         }
     }
 
-    /// `demand` is what one task takes from a worker's capacity.
+    /// `demand` is the part of a worker's capacity that one task reserves.
     #[must_use]
     pub fn demand(&self) -> Resources {
         if self.is_filler {
-            // A filler's processor share comes from what others leave unused.
+            // A filler reserves no processor share: it uses what other tasks leave unused.
             Resources {
                 cpu_millis: 0,
                 ..self.need
@@ -156,7 +157,7 @@
     }
 }
 
-/// Tells in a few characters what decides where a step's tasks go, for log lines.
+/// Formats in a few characters, for log lines, what decides on the placement of a step's tasks.
 impl fmt::Display for StepSpec {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Resources {
@@ -178,63 +179,64 @@
             (self.max_per_worker.is_some(), "apart"),
             (!self.after.is_empty(), "after"),
         ];
-        let mut set = flags.iter().filter(|(is_set, _)| *is_set);
-        set.try_for_each(|(_, name)| write!(f, "+{name}"))
+        let mut set_flags = flags.iter().filter(|(is_set, _)| *is_set);
+        set_flags.try_for_each(|(_, name)| write!(f, "+{name}"))
     }
 }
 
-/// `Schedule` repeats a job's steps at set times.
+/// `Schedule` repeats a job's steps at a fixed interval.
 #[common(wire)]
 #[derive(Eq)]
 pub struct Schedule {
     /// Unix time at which the first occurrence is due.
     pub first_unix_ms: TimeMs,
-    /// Time between occurrences.
+    /// Time between the start times of successive occurrences.
     pub interval_ms: DurationMs,
     /// Number of occurrences.
     pub occurrences: u32,
 }
 
-/// `QueuePolicy` is what a queue promised when a job was accepted.
+/// `QueuePolicy` holds how a queue runs its jobs: pool, priority, attempts and latency objective.
 ///
-/// A later desired state goes before it; it stands in for a queue that was removed meanwhile.
+/// A job keeps the policy of its acceptance. The policy in the desired state in force takes precedence;
+/// the kept one applies once the queue has been removed from the desired state.
 #[common(wire)]
 pub struct QueuePolicy {
-    /// Pool of workers that runs the tasks.
+    /// Pool whose workers run the tasks.
     pub pool: PoolName,
-    /// Zero comes first and may preempt the others.
+    /// Priority; zero is the highest and may preempt the others.
     pub priority: u32,
-    /// Runs of a task that may fail before the job fails.
+    /// Number of failed runs of a task at which the job fails.
     pub attempts: u32,
-    /// The objective is this many times the longest chain of work, and `target_latency_ms` more.
+    /// Factor on the critical path in the latency objective; `target_latency_ms` is added to it.
     pub stretch: f64,
-    /// Constant part of the objective.
+    /// Constant part of the latency objective.
     pub target_latency_ms: DurationMs,
-    /// How the advisor of the queue's policy answers; none if any worker may run its jobs.
+    /// Timing of the queue's advisor; none if any worker may run its jobs.
     pub advice: Option<AdvisorTiming>,
 }
 
 impl QueuePolicy {
-    /// `objective_ms` is the time that a job may take whose longest chain of steps takes `chain_ms`.
+    /// `objective_ms` is the latency objective of a job with a critical path of the given length.
     #[must_use]
-    pub fn objective_ms(&self, chain_ms: DurationMs) -> DurationMs {
-        chain_ms.scaled(self.stretch) + self.target_latency_ms
+    pub fn objective_ms(&self, critical_path_ms: DurationMs) -> DurationMs {
+        critical_path_ms.scaled(self.stretch) + self.target_latency_ms
     }
 }
 
-/// `AdvisorTiming` tells how long the advisor takes and how long its tickets hold.
+/// `AdvisorTiming` holds how long an answer of the advisor takes and how long its tickets are valid.
 #[common(wire)]
 #[derive(Eq)]
 pub struct AdvisorTiming {
-    /// Constant part of the time of an answer.
+    /// Constant part of the time that an answer takes.
     pub answer_ms: DurationMs,
-    /// Further time for each worker asked about.
+    /// Additional time for each worker in the advice request.
     pub per_worker_ms: DurationMs,
-    /// How long a ticket holds.
+    /// How long a ticket is valid.
     pub valid_ms: DurationMs,
 }
 
-/// `StepId` names one step of one occurrence of a job.
+/// `StepId` identifies one step of one occurrence of a job.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StepId {
     /// The job.
@@ -251,30 +253,30 @@
     }
 }
 
-/// `JobRecord` is an accepted job as the store keeps it; it never changes.
+/// `JobRecord` is an accepted job as it is stored; it never changes.
 #[common(wire)]
 pub struct JobRecord {
-    /// Id that the caller chose.
+    /// Id chosen by the caller.
     pub job_id: JobId,
-    /// Queue that the job was handed in to.
+    /// Queue that the job was submitted to.
     pub queue: ClassName,
     /// Policy of the queue at acceptance.
     #[serde(rename = "terms")]
     pub policy: QueuePolicy,
-    /// Customer whose key the call carried.
+    /// Customer whose API key the submission carried.
     pub customer: CustomerName,
-    /// Text that every task gets.
+    /// Text that is passed to every task.
     pub payload: Arc<str>,
-    /// Steps in the order of their numbers.
+    /// Steps, indexed by their numbers.
     pub steps: Vec<StepSpec>,
-    /// Set times, if the job has any.
+    /// Schedule of the occurrences; none if the steps run once.
     pub schedule: Option<Schedule>,
-    /// Unix time of acceptance, by the accepting host's clock.
+    /// Unix time of acceptance on the accepting host's clock.
     pub accepted_unix_ms: TimeMs,
 }
 
 impl JobRecord {
-    /// `occurrence_count` counts how often the steps run.
+    /// `occurrence_count` is the number of times that the steps run.
     #[must_use]
     pub fn occurrence_count(&self) -> u32 {
         self.schedule
@@ -282,7 +284,7 @@
             .map_or(1, |schedule| schedule.occurrences)
     }
 
-    /// `due_unix_ms` is when the given occurrence may start.
+    /// `due_unix_ms` is the Unix time from which the given occurrence may start.
     #[must_use]
     pub fn due_unix_ms(&self, occurrence: u32) -> TimeMs {
         self.schedule
@@ -292,39 +294,39 @@
             })
     }
 
-    /// `steps_summary` describes the steps for log lines.
+    /// `steps_summary` formats the steps for log lines.
     #[must_use]
     pub fn steps_summary(&self) -> String {
         let steps: Vec<String> = self.steps.iter().map(StepSpec::to_string).collect();
         steps.join(",")
     }
 
-    /// `critical_path_ms` estimates the longest chain of steps of one occurrence.
+    /// `critical_path_ms` estimates the duration of the longest chain of dependent steps of one occurrence.
     #[must_use]
     pub fn critical_path_ms(&self) -> DurationMs {
-        let mut ends: Vec<u64> = Vec::with_capacity(self.steps.len());
+        let mut step_ends_ms: Vec<u64> = Vec::with_capacity(self.steps.len());
         for step in &self.steps {
-            let begin = step
+            let start_ms = step
                 .after
                 .iter()
-                .filter_map(|&number| ends.get(number as usize))
+                .filter_map(|&number| step_ends_ms.get(number as usize))
                 .max()
                 .copied()
                 .unwrap_or(0);
-            ends.push(begin + step.estimate_ms.0);
+            step_ends_ms.push(start_ms + step.estimate_ms.0);
         }
-        DurationMs(ends.into_iter().max().unwrap_or(0))
+        DurationMs(step_ends_ms.into_iter().max().unwrap_or(0))
     }
 }
 
 impl TaskId {
-    /// `belongs_to` tells whether the task belongs to the step.
+    /// `belongs_to` reports whether the task is one of the step.
     #[must_use]
     pub fn belongs_to(&self, step: &StepId) -> bool {
         self.job_id == step.job_id && self.occurrence == step.occurrence && self.step == step.step
     }
 
-    /// `step_id` names the step that the task belongs to.
+    /// `step_id` returns the id of the step that the task belongs to.
     #[must_use]
     pub fn step_id(&self) -> StepId {
         StepId {
@@ -335,7 +337,7 @@
     }
 }
 
-/// `TaskId` names one task of one occurrence of a job.
+/// `TaskId` identifies one task of one occurrence of a job.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
     /// The job.
--- a/ragwortwick-area/src/job_state.rs
+++ b/ragwortwick-area/src/job_state.rs
@@ -1,4 +1,4 @@
-//! The coordinator's view of one job: its tasks, runs and ends.
+//! The coordinator's view of one job: the states of its tasks, steps and gangs.
 
 use std::sync::Arc;
 
@@ -12,16 +12,16 @@
 use crate::progress::JobPhase;
 use crate::speed::StepDurations;
 
-/// `TaskState` is where one task stands.
+/// `TaskState` is the scheduling state of one task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum TaskState {
-    /// It may be placed.
+    /// It waits to be placed.
     Waiting,
-    /// A run of it is or may be on the worker.
+    /// A run of it is, or may be, on the worker.
     Placed(WorkerName),
-    /// Its run is over, but runs of other members of its gang are not.
+    /// Its run has ended, and runs of other members of its gang have not.
     AwaitingGang,
-    /// A run of it ended well.
+    /// A run of it has done its work.
     Done,
 }
 
@@ -34,18 +34,18 @@
     pub(crate) checkpoint: Arc<str>,
 }
 
-/// `StepState` is one step of one occurrence.
+/// `StepState` is the state of one step of one occurrence.
 #[derive(Clone, Debug)]
 pub(crate) struct StepState {
     pub(crate) tasks: Vec<Task>,
     pub(crate) done_count: usize,
     pub(crate) placed_count: usize,
-    /// Failed runs of the gang as a whole.
+    /// Number of failed runs of the whole gang.
     pub(crate) gang_failures: u32,
-    /// Whether the gang's run is ending and its members are waited for.
+    /// Whether the gang's run is ending and some of its members have not ended yet.
     pub(crate) is_gang_ending: bool,
     pub(crate) has_failed_member: bool,
-    /// What its tasks took so far.
+    /// Durations of its tasks so far.
     pub(crate) durations: StepDurations,
 }
 
@@ -81,23 +81,23 @@
     }
 }
 
-/// `JobState` is one accepted job.
+/// `JobState` is the state of one accepted job.
 #[derive(Clone, Debug)]
 pub(crate) struct JobState {
     pub(crate) record: Arc<JobRecord>,
     pub(crate) phase: JobPhase,
-    /// The phase in the last record that was sent to the store.
+    /// Phase in the last record that was sent to the store.
     pub(crate) recorded_phase: JobPhase,
     /// Steps by occurrence and number.
     pub(crate) occurrences: Vec<Vec<StepState>>,
-    /// Acceptance on the coordinator's clock.
+    /// Time of acceptance on the coordinator's clock.
     pub(crate) accepted_at: TimeMs,
     pub(crate) ended_at: Option<TimeMs>,
-    /// When a run of it was over last; its acceptance before the first.
+    /// When a run of it last ended; the time of acceptance before that.
     pub(crate) last_run_ended_at: TimeMs,
-    /// Its pause after starts that were refused.
+    /// Backoff after refused starts.
     pub(crate) backoff: StartBackoff,
-    /// How often its runs were started elsewhere because they stood still.
+    /// Number of times that a stalled run of it was stopped to restart on another worker.
     pub(crate) stall_restarts: u32,
     pub(crate) accounting: JobAccounting,
 }
@@ -144,7 +144,7 @@
         self.record.steps.get(step as usize)
     }
 
-    /// Whether all steps that the given one waits for are done.
+    /// Whether all steps that the given step depends on are done.
     pub(crate) fn is_step_ready(&self, occurrence: u32, step: u32) -> bool {
         let Some(spec) = self.spec(step) else {
             return false;
@@ -155,7 +155,7 @@
         })
     }
 
-    /// Notes that a run of the task is placed; gives the number of the run.
+    /// Records that a run of the task is placed on the worker.
     pub(crate) fn mark_placed(&mut self, id: &TaskId, worker: &WorkerName, run: u32) {
         if self.phase == JobPhase::Queued {
             self.phase = JobPhase::Running;
@@ -169,7 +169,7 @@
         task.state = TaskState::Placed(worker.clone());
     }
 
-    /// Takes in the outcome of a run that is over.
+    /// Applies the outcome of a run that has ended; returns what has to follow for the rest of the job.
     pub(crate) fn apply_outcome(
         &mut self,
         id: &TaskId,
@@ -181,7 +181,7 @@
         let Some(spec) = self.spec(id.step).cloned() else {
             return FollowUp::None;
         };
-        let is_over = self.phase.is_final();
+        let has_ended = self.phase.is_final();
         let Some(step) = self.step_mut(id.occurrence, id.step) else {
             return FollowUp::None;
         };
@@ -195,20 +195,20 @@
         if !checkpoint.is_empty() {
             task.checkpoint = Arc::clone(checkpoint);
         }
-        // What has to last starts again however it ended.
+        // A long-running task is started again however its run ended.
         let outcome = match outcome {
             RunOutcome::Done | RunOutcome::Failed if spec.is_long_running => RunOutcome::NoVerdict,
             outcome => outcome,
         };
-        let settled = if spec.is_gang {
+        let follow_up = if spec.is_gang {
             apply_gang_outcome(step, id.index as usize, outcome, checkpoint, attempts)
         } else {
             apply_task_outcome(step, id.index as usize, outcome, attempts)
         };
-        if is_over {
+        if has_ended {
             return FollowUp::None;
         }
-        match settled {
+        match follow_up {
             FollowUp::EndJob => {
                 self.phase = JobPhase::Failed;
                 FollowUp::EndJob
@@ -217,7 +217,7 @@
                 self.phase = JobPhase::Completed;
                 FollowUp::EndJob
             }
-            settled => settled,
+            follow_up => follow_up,
         }
     }
 
@@ -227,8 +227,8 @@
             .get(id.index as usize)
     }
 
-    /// Takes in that a task, or its whole gang, has done its work, whatever runs of it are placed; tells
-    /// whether the job has come to its end by it.
+    /// Records that a task, or its whole gang, has done its work, whatever runs of it are placed.
+    /// Returns whether that completes the job.
     pub(crate) fn mark_done(&mut self, id: &TaskId) -> bool {
         let is_gang = self.spec(id.step).is_some_and(|spec| spec.is_gang);
         let Some(step) = self.step_mut(id.occurrence, id.step) else {
@@ -236,41 +236,41 @@
         };
         let members = (0..).zip(&mut step.tasks);
         for (_, task) in members.filter(|(index, _)| is_gang || *index == id.index) {
-            let before = std::mem::replace(&mut task.state, TaskState::Done);
-            step.done_count += usize::from(before != TaskState::Done);
-            step.placed_count -= usize::from(matches!(before, TaskState::Placed(_)));
+            let previous = std::mem::replace(&mut task.state, TaskState::Done);
+            step.done_count += usize::from(previous != TaskState::Done);
+            step.placed_count -= usize::from(matches!(previous, TaskState::Placed(_)));
         }
         step.is_gang_ending &= !is_gang;
-        let is_over = !self.phase.is_final() && self.all_done();
-        if is_over {
+        let is_completed = !self.phase.is_final() && self.all_done();
+        if is_completed {
             self.phase = JobPhase::Completed;
         }
-        is_over
+        is_completed
     }
 
-    /// Takes in a crash that counts against a task; tells whether the job has come to its end by it.
-    pub(crate) fn count_crash(&mut self, id: &TaskId, age_ms: Option<DurationMs>) -> bool {
-        let is_over = self.phase.is_final();
+    /// Counts a worker crash that is attributed to the task; returns whether that fails the job.
+    pub(crate) fn count_crash(&mut self, id: &TaskId, run_age_ms: Option<DurationMs>) -> bool {
+        let has_ended = self.phase.is_final();
         let Some(step) = self.step_mut(id.occurrence, id.step) else {
             return false;
         };
         let Some(task) = step.tasks.get_mut(id.index as usize) else {
             return false;
         };
-        task.crash_history.count_crash(age_ms);
-        let is_given_up = task.crash_history.is_at_limit() && !is_over;
-        if is_given_up {
+        task.crash_history.count_crash(run_age_ms);
+        let is_failed = task.crash_history.is_at_limit() && !has_ended;
+        if is_failed {
             self.phase = JobPhase::Failed;
         }
-        is_given_up
+        is_failed
     }
 
-    /// Whether callers have to learn another phase than the last record tells.
+    /// Whether the phase differs from the one in the last record, so that callers still see the old one.
     pub(crate) fn has_unrecorded_phase(&self) -> bool {
         self.phase != self.recorded_phase
     }
 
-    /// Whether no run of it is placed anywhere.
+    /// Whether no run of the job is placed on any worker.
     pub(crate) fn is_idle(&self) -> bool {
         let mut steps = self.occurrences.iter().flatten();
         steps.all(|step| step.placed_count == 0)
--- a/ragwortwick-area/src/limits.rs
+++ b/ragwortwick-area/src/limits.rs
@@ -1,42 +1,42 @@
-//! Bounds of the installation that the coordinator's decisions depend on.
+//! Time limits and value weights, from the settings, that the coordinator's decisions depend on.
 
 use ragwortwick_core::{DurationMs, common};
 
-/// `Limits` holds the installation's bounds, from the settings.
+/// `Limits` holds the limits of the installation, from the settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Longest lease that a worker grants to what runs there.
+    /// Longest lease that a worker grants to its runs.
     pub lease_ms: DurationMs,
-    /// Longest time that a stop takes on a worker.
+    /// Longest time that stopping a run takes on a worker.
     pub stop_ms: DurationMs,
-    /// How long the start of a member may lag behind the first of its gang.
+    /// Longest time between the start of the first member of a gang and that of any other.
     pub gang_wait_ms: DurationMs,
-    /// How soon a guaranteed job must have begun.
+    /// Time within which a job inside its guarantee must have started.
     pub reclaim_ms: DurationMs,
-    /// How many times longer work takes away from its rack.
+    /// Factor by which work takes longer on a rack other than its own.
     pub remote_penalty: f64,
-    /// Work between two checkpoints.
+    /// Time of work between two checkpoints.
     pub checkpoint_ms: DurationMs,
     /// Time to resume from a checkpoint.
     pub restore_ms: DurationMs,
-    /// How long a job's final state can be asked for.
+    /// How long the final state of a job can be queried.
     pub retention_ms: DurationMs,
-    /// What operators say that work is worth.
+    /// Weights that set the value of work.
     pub weights: Weights,
 }
 
-/// `Weights` ranks work by what it is worth to its callers; operators may set it.
+/// `Weights` sets the value of work to its callers; operators may change it.
 #[common(wire)]
 #[serde(default, deny_unknown_fields)]
 pub struct Weights {
-    /// Worth of a job of mean size by its queue's priority, 0 first; later priorities count as the last.
+    /// Value of a job of mean size by the priority of its queue, from 0; lower ones use the last entry.
     pub by_priority: Vec<f64>,
-    /// Share of the worth that is left past the objective.
+    /// Share of the value that remains once the latency objective is missed.
     pub late_share: f64,
 }
 
 impl Weights {
-    /// `validation_error` tells what is wrong with the weights, if anything is.
+    /// `validation_error` returns what is wrong with the weights, if anything is.
     #[must_use]
     pub fn validation_error(&self) -> Option<&'static str> {
         let is_weight = |weight: &f64| weight.is_finite() && *weight > 0.0;
@@ -47,7 +47,7 @@
         (!is_share).then_some("weights.late_share: expected a number from 0 to 1")
     }
 
-    /// `of_priority` is the worth of a job of mean size in a queue of the given priority.
+    /// `of_priority` is the value of a job of mean size in a queue of the given priority.
     #[must_use]
     pub fn of_priority(&self, priority: u32) -> f64 {
         let last = self.by_priority.last();
@@ -59,7 +59,7 @@
 impl Default for Weights {
     fn default() -> Self {
         Self {
-            // Urgent answers are worth most to those who wait for them.
+            // Urgent results have the highest value to the callers who wait for them.
             by_priority: vec![4.0, 3.0, 1.0],
             late_share: 0.4,
         }
--- a/ragwortwick-area/src/persistence.rs
+++ b/ragwortwick-area/src/persistence.rs
@@ -1,4 +1,4 @@
-//! A job's state as the store keeps it, and back.
+//! Conversion of a job's state to its stored form and back.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use crate::progress::{GangProgress, JobProgress, TaskProgress};
 
 impl JobState {
-    /// Takes in what an earlier coordinator stored; gives the runs that may be on workers.
+    /// Restores the state that an earlier coordinator stored; returns the runs that may be on workers.
     pub(crate) fn restore(
         &mut self,
         now: TimeMs,
@@ -26,7 +26,7 @@
                 step.has_failed_member = gang.is_failing;
             }
         }
-        let mut inherited = Vec::new();
+        let mut recovered_runs = Vec::new();
         for task in &stored.tasks {
             let id = self.task_id(task.occurrence, task.step, task.index);
             let Some(step) = self.step_mut(task.occurrence, task.step) else {
@@ -47,23 +47,25 @@
                 step.done_count += 1;
             }
             if let Some(worker) = &task.worker {
-                inherited.push((id, worker.clone()));
+                recovered_runs.push((id, worker.clone()));
                 if !task.is_done {
                     state.state = TaskState::Placed(worker.clone());
                     step.placed_count += 1;
                 }
             }
         }
-        self.mend_partial_gangs();
-        self.accounting = JobAccounting::recovered(now, !inherited.is_empty());
-        inherited
+        self.mark_partial_gangs_ending();
+        self.accounting = JobAccounting::recovered(now, !recovered_runs.is_empty());
+        recovered_runs
     }
 
-    /// A gang of which only a part is recorded as placed was ending; its rest waits for that.
-    fn mend_partial_gangs(&mut self) {
-        let specs = Arc::clone(&self.record);
+    /// Marks gangs as ending of which only some members are recorded as placed.
+    ///
+    /// Such a gang was ending when the record was written; its other members wait for that end.
+    fn mark_partial_gangs_ending(&mut self) {
+        let record = Arc::clone(&self.record);
         for occurrence in &mut self.occurrences {
-            for (step, spec) in occurrence.iter_mut().zip(&specs.steps) {
+            for (step, spec) in occurrence.iter_mut().zip(&record.steps) {
                 if !spec.is_gang || step.placed_count == 0 || step.placed_count == step.tasks.len()
                 {
                     continue;
@@ -78,7 +80,7 @@
         }
     }
 
-    /// What the store has to keep, with the worker of each task that may be running.
+    /// Returns the progress to store, with the worker of each task that may be running.
     pub(crate) fn to_progress(&self) -> JobProgress {
         let mut progress = JobProgress {
             phase: self.phase,
@@ -101,9 +103,9 @@
                         _ => None,
                     };
                     let is_done = task.state == TaskState::Done;
-                    let is_new = task.last_run == 0 && task.failures == 0 && !is_done;
-                    // Once a job is over, only runs that still have to stop matter.
-                    if is_new || (self.phase.is_final() && worker.is_none()) {
+                    let is_unchanged = task.last_run == 0 && task.failures == 0 && !is_done;
+                    // For a job that has ended, only runs that still have to stop are stored.
+                    if is_unchanged || (self.phase.is_final() && worker.is_none()) {
                         continue;
                     }
                     progress.tasks.push(TaskProgress {
--- a/ragwortwick-area/src/progress.rs
+++ b/ragwortwick-area/src/progress.rs
@@ -1,11 +1,11 @@
-//! What the store keeps of a job besides its declaration: how far it is and where its runs may be.
+//! The stored progress of a job: its phase, the state of its tasks and the workers that may run them.
 
 use std::sync::Arc;
 
 use ragwortwick_core::{DurationMs, WorkerName, common};
 use serde::{Deserialize, Serialize};
 
-/// `JobPhase` is what callers see of a job.
+/// `JobPhase` is the state of a job that callers see.
 #[common(key)]
 #[derive(Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
@@ -17,35 +17,35 @@
     Running,
     /// Every task is done.
     Completed,
-    /// A task or gang failed as often as its queue allows, or a task crashed its workers.
+    /// A task or gang used up the attempts that its queue allows, or a task kept crashing its workers.
     Failed,
     /// A caller cancelled it.
     Cancelled,
 }
 
 impl JobPhase {
-    /// `is_final` tells whether the phase never changes again.
+    /// `is_final` reports whether the phase can no longer change.
     #[must_use]
     pub fn is_final(self) -> bool {
         matches!(self, Self::Completed | Self::Failed | Self::Cancelled)
     }
 }
 
-/// `JobProgress` is the changing part of a job's state; only the coordinator writes it.
+/// `JobProgress` is the stored part of a job's state that changes; only the coordinator writes it.
 #[common(wire)]
 #[derive(Eq, Default)]
 pub struct JobProgress {
-    /// What callers see.
+    /// Phase that callers see.
     pub phase: JobPhase,
-    /// Tasks that are no longer as they were at acceptance.
+    /// Tasks whose state differs from that at acceptance.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub tasks: Vec<TaskProgress>,
-    /// Failed runs of each gang that has any.
+    /// Gangs that have failed runs.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub gangs: Vec<GangProgress>,
 }
 
-/// `TaskProgress` is the state of one task.
+/// `TaskProgress` is the stored state of one task.
 #[common(wire)]
 #[derive(Eq)]
 pub struct TaskProgress {
@@ -58,25 +58,25 @@
     /// Number of the task in its step.
     #[serde(rename = "i", default, skip_serializing_if = "is_zero")]
     pub index: u32,
-    /// Highest run number that was ever used.
+    /// Highest run number that has been used.
     #[serde(rename = "r", default, skip_serializing_if = "is_zero")]
     pub last_run: u32,
-    /// Runs that failed.
+    /// Number of failed runs.
     #[serde(rename = "f", default, skip_serializing_if = "is_zero")]
     pub failures: u32,
-    /// Workers that crashed under it, at the same point of its work.
+    /// Worker crashes attributed to the task, at the same point of its work.
     #[serde(rename = "k", default, skip_serializing_if = "is_zero")]
     pub crashes: u32,
-    /// How long its run had been going at the last of these crashes.
+    /// Age of its run at the last of these crashes.
     #[serde(rename = "ka", default, skip_serializing_if = "is_none_ms")]
     pub crash_age_ms: DurationMs,
-    /// Whether a run ended well.
+    /// Whether a run has done the work.
     #[serde(rename = "d", default, skip_serializing_if = "is_false")]
     pub is_done: bool,
-    /// Worker where the last run may still be.
+    /// Worker that may still run its last run.
     #[serde(rename = "w", default, skip_serializing_if = "Option::is_none")]
     pub worker: Option<WorkerName>,
-    /// Newest checkpoint known when this was stored.
+    /// Latest checkpoint that was known when the record was written.
     #[serde(rename = "c", default, skip_serializing_if = "is_empty")]
     pub checkpoint: Arc<str>,
 }
@@ -89,9 +89,9 @@
     pub occurrence: u32,
     /// Number of the step.
     pub step: u32,
-    /// Runs that failed.
+    /// Number of failed runs.
     pub failures: u32,
-    /// Whether a member of the run that is ending has failed; the run counts once all have ended.
+    /// Whether a member of the ending run has failed; the run is counted once all members have ended.
     #[serde(default, skip_serializing_if = "is_false")]
     pub is_failing: bool,
 }
@@ -116,8 +116,8 @@
     clippy::trivially_copy_pass_by_ref,
     reason = "serde passes the field by reference"
 )]
-fn is_none_ms(span_ms: &DurationMs) -> bool {
-    span_ms.0 == 0
+fn is_none_ms(duration_ms: &DurationMs) -> bool {
+    duration_ms.0 == 0
 }
 
 fn is_empty(text: &Arc<str>) -> bool {
--- a/ragwortwick-area/src/record_batches.rs
+++ b/ragwortwick-area/src/record_batches.rs
@@ -1,7 +1,7 @@
-//! What has to be stored: batches of records, and what waits for them.
+//! Batches of job records for the store, and the starts and acknowledgements that wait for them.
 //!
-//! Answers the load in which far more jobs change than one transaction holds while each answer of the
-//! store takes long: batches of different jobs then go out side by side.
+//! Under load, far more jobs change than one transaction holds while the store replies slowly. Batches of
+//! different jobs are therefore sent in parallel.
 
 use std::collections::BTreeMap;
 
@@ -12,40 +12,40 @@
 use crate::job_state::JobState;
 use crate::messages::{Action, ProgressRecord};
 
-/// Entries of a record in a transaction: a condition and a write. A new phase is one write more.
+/// Transaction entries of one record: a condition and a write. A new phase adds one more write.
 const ENTRIES_PER_RECORD: usize = 2;
 
-/// Most entries of the records in a batch. The store takes 32, and one is the condition on the
-/// coordinator's own key.
+/// Maximum number of entries of the records in a batch. The store accepts 32 entries in a transaction,
+/// and one of them is the condition on the coordinator's own key.
 const MAX_BATCH_ENTRIES: usize = 31;
 
-/// Most records in a batch.
+/// Maximum number of records in a batch.
 pub const MAX_BATCH_RECORDS: usize = MAX_BATCH_ENTRIES / ENTRIES_PER_RECORD;
 
-/// Most batches under way at a time.
-const MAX_BATCHES: usize = 8;
+/// Maximum number of batches in flight.
+const MAX_BATCHES_IN_FLIGHT: usize = 8;
 
-/// How long the last batch has to be under way before one that is not full follows it. A store that
-/// answers within it then takes what has gathered in one call.
-const NEXT_BATCH_MS: DurationMs = DurationMs(15);
+/// Time after the last batch was sent from which a batch that is not full may follow it. If the store
+/// replies within this time, the changes collected meanwhile go out in one call.
+const PARTIAL_BATCH_DELAY_MS: DurationMs = DurationMs(15);
 
-/// Time by which the record of a job that ended outlives the time in which it can be asked for.
-const FORGET_MARGIN_MS: DurationMs = DurationMs(180_000);
+/// Time for which the record of an ended job is kept beyond the retention time.
+const DELETE_MARGIN_MS: DurationMs = DurationMs(180_000);
 
-/// Ends that workers may forget once their effect is stored, by worker.
+/// Highest run end to acknowledge to each worker once its effect is stored.
 type EndAcks = BTreeMap<WorkerName, u64>;
 
-/// `RecordBatches` tracks what is not stored yet.
+/// `RecordBatches` tracks the changes that are not stored yet.
 #[derive(Debug, Default)]
 pub(crate) struct RecordBatches {
-    dirty: Dirty,
+    dirty: DirtyJobs,
     /// Starts that wait for the record of their job.
-    intents: BTreeMap<JobId, Vec<PendingStart>>,
-    /// Ends taken in, whose effect is not in a batch yet.
-    notes: EndAcks,
-    in_flight: BTreeMap<u64, InFlight>,
-    /// Ends whose effect is in this batch or an earlier one.
-    noted: BTreeMap<u64, EndAcks>,
+    pending_starts: BTreeMap<JobId, Vec<PendingStart>>,
+    /// Received run ends whose effect is not in a batch yet.
+    pending_acks: EndAcks,
+    in_flight: BTreeMap<u64, BatchInFlight>,
+    /// Run ends whose effect is in this batch or an earlier one, by batch.
+    acks_by_batch: BTreeMap<u64, EndAcks>,
     last_batch: u64,
     last_sent_at: TimeMs,
 }
@@ -59,37 +59,37 @@
 }
 
 #[derive(Debug)]
-struct InFlight {
-    /// Sorted.
+struct BatchInFlight {
+    /// Sorted, for binary search.
     jobs: Vec<JobId>,
-    intents: Vec<PendingStart>,
+    starts: Vec<PendingStart>,
 }
 
-/// `Dirty` is the jobs that have changed since their last record, first changed first.
+/// `DirtyJobs` is a queue of the jobs that have changed since their last record, by first change.
 #[derive(Debug, Default)]
-struct Dirty {
-    places: BTreeMap<JobId, u64>,
+struct DirtyJobs {
+    positions: BTreeMap<JobId, u64>,
     order: BTreeMap<u64, JobId>,
-    last_place: u64,
+    last_position: u64,
 }
 
-impl Dirty {
+impl DirtyJobs {
     fn insert(&mut self, job_id: &JobId) {
-        if !self.places.contains_key(job_id) {
-            self.last_place += 1;
-            self.places.insert(job_id.clone(), self.last_place);
-            self.order.insert(self.last_place, job_id.clone());
+        if !self.positions.contains_key(job_id) {
+            self.last_position += 1;
+            self.positions.insert(job_id.clone(), self.last_position);
+            self.order.insert(self.last_position, job_id.clone());
         }
     }
 
     fn remove(&mut self, job_id: &JobId) {
-        if let Some(place) = self.places.remove(job_id) {
-            self.order.remove(&place);
+        if let Some(position) = self.positions.remove(job_id) {
+            self.order.remove(&position);
         }
     }
 
     fn contains(&self, job_id: &JobId) -> bool {
-        self.places.contains_key(job_id)
+        self.positions.contains_key(job_id)
     }
 
     fn is_empty(&self) -> bool {
@@ -102,15 +102,15 @@
         self.dirty.insert(job_id);
     }
 
-    pub(crate) fn ack_end_when_stored(&mut self, worker: &WorkerName, number: u64) {
-        self.notes.insert(worker.clone(), number);
+    pub(crate) fn ack_end_when_stored(&mut self, worker: &WorkerName, sequence: u64) {
+        self.pending_acks.insert(worker.clone(), sequence);
     }
 
-    /// Notes a start that has to be in the record of its job before it is sent.
+    /// Registers a start that is sent once the record of its job is stored.
     pub(crate) fn start_when_stored(&mut self, worker: &WorkerName, task: &TaskId, run: u32) {
         self.mark_dirty(&task.job_id);
-        let intents = self.intents.entry(task.job_id.clone()).or_default();
-        intents.push(PendingStart {
+        let starts = self.pending_starts.entry(task.job_id.clone()).or_default();
+        starts.push(PendingStart {
             worker: worker.clone(),
             task: task.clone(),
             run,
@@ -118,41 +118,42 @@
     }
 
     pub(crate) fn has_pending(&self) -> bool {
-        !self.in_flight.is_empty() || !self.dirty.is_empty() || !self.notes.is_empty()
+        !self.in_flight.is_empty() || !self.dirty.is_empty() || !self.pending_acks.is_empty()
     }
 
-    /// Jobs whose record can go out: of a job that is under way the next one waits.
-    fn ready(&self) -> impl Iterator<Item = &JobId> {
-        let is_free = |job_id: &&JobId| {
+    /// Changed jobs whose record can be sent. A job that is in a batch in flight waits for that batch.
+    fn sendable_jobs(&self) -> impl Iterator<Item = &JobId> {
+        let is_sendable = |job_id: &&JobId| {
             let mut in_flight = self.in_flight.values();
             !in_flight.any(|batch| batch.jobs.binary_search(job_id).is_ok())
         };
-        self.dirty.order.values().filter(is_free)
+        self.dirty.order.values().filter(is_sendable)
     }
 
-    /// Whether another batch may follow now, if there may be one more.
-    fn may_send(&self, now: TimeMs, is_full: bool) -> bool {
-        let is_slow = now.since(self.last_sent_at) >= NEXT_BATCH_MS;
-        self.in_flight.is_empty() || is_full || is_slow
+    /// Whether another batch may be sent now, if fewer than the maximum are in flight.
+    fn can_send_batch(&self, now: TimeMs, is_full: bool) -> bool {
+        let is_delay_over = now.since(self.last_sent_at) >= PARTIAL_BATCH_DELAY_MS;
+        self.in_flight.is_empty() || is_full || is_delay_over
     }
 
-    /// Ends whose effect is stored by now: every batch up to theirs is.
-    fn take_stored_notes(&mut self) -> Vec<EndAcks> {
+    /// Takes the run ends whose effect is stored: their batch and all earlier ones are.
+    fn take_stored_acks(&mut self) -> Vec<EndAcks> {
         let first_open = self.in_flight.keys().next().copied();
         let open = match first_open {
-            Some(batch) => self.noted.split_off(&batch),
+            Some(batch) => self.acks_by_batch.split_off(&batch),
             None => BTreeMap::new(),
         };
-        let stored = std::mem::replace(&mut self.noted, open);
+        let stored = std::mem::replace(&mut self.acks_by_batch, open);
         stored.into_values().collect()
     }
 }
 
 impl Coordinator {
-    /// Sends batches of what has changed.
+    /// Sends batches of the changed records to the store.
     ///
-    /// A record is stored before the start that it announces and before its worker may forget an
-    /// end, so that a successor knows of every run there can be and misses no end.
+    /// A record is stored before the start that it contains is sent and before a run end that it reflects
+    /// is acknowledged to the worker. The next coordinator therefore knows of every run that may exist and
+    /// misses no run end.
     pub(crate) fn send_record_batches(&mut self, now: TimeMs) {
         if !self.can_start_work(now) {
             return;
@@ -160,24 +161,24 @@
         while let Some(jobs) = self.next_batch(now) {
             self.send_batch(now, jobs);
         }
-        // An end may concern any changed job, so ends wait until all are in a batch.
-        if self.records.dirty.is_empty() && !self.records.notes.is_empty() {
-            let notes = std::mem::take(&mut self.records.notes);
-            let of_last_batch = self.records.noted.entry(self.records.last_batch);
-            of_last_batch.or_default().extend(notes);
+        // A run end may affect any changed job, so acknowledgements wait until all are in a batch.
+        if self.records.dirty.is_empty() && !self.records.pending_acks.is_empty() {
+            let acks = std::mem::take(&mut self.records.pending_acks);
+            let of_last_batch = self.records.acks_by_batch.entry(self.records.last_batch);
+            of_last_batch.or_default().extend(acks);
         }
-        self.tell_stored_notes();
+        self.apply_stored_acks();
     }
 
-    /// As many changed jobs as one transaction of the store holds, if a batch may follow now.
+    /// Picks as many changed jobs as fit into one transaction; none if no batch may be sent now.
     fn next_batch(&self, now: TimeMs) -> Option<Vec<JobId>> {
-        if self.records.in_flight.len() >= MAX_BATCHES {
+        if self.records.in_flight.len() >= MAX_BATCHES_IN_FLIGHT {
             return None;
         }
         let mut entries = 0;
         let mut is_full = false;
         let mut jobs = Vec::new();
-        for job_id in self.records.ready() {
+        for job_id in self.records.sendable_jobs() {
             let has_new_phase = self
                 .jobs
                 .get(job_id)
@@ -189,7 +190,7 @@
             }
             jobs.push(job_id.clone());
         }
-        if jobs.is_empty() || !self.records.may_send(now, is_full) {
+        if jobs.is_empty() || !self.records.can_send_batch(now, is_full) {
             return None;
         }
         jobs.sort_unstable();
@@ -198,10 +199,15 @@
 
     fn send_batch(&mut self, now: TimeMs, jobs: Vec<JobId>) {
         let mut records = Vec::with_capacity(jobs.len());
-        let mut intents = Vec::new();
+        let mut starts = Vec::new();
         for job_id in &jobs {
             self.records.dirty.remove(job_id);
-            intents.extend(self.records.intents.remove(job_id).unwrap_or_default());
+            starts.extend(
+                self.records
+                    .pending_starts
+                    .remove(job_id)
+                    .unwrap_or_default(),
+            );
             let Some(job) = self.jobs.get_mut(job_id) else {
                 continue;
             };
@@ -218,7 +224,7 @@
         self.records.last_batch += 1;
         self.records.last_sent_at = now;
         let batch = self.records.last_batch;
-        let in_flight = InFlight { jobs, intents };
+        let in_flight = BatchInFlight { jobs, starts };
         self.records.in_flight.insert(batch, in_flight);
         self.actions.push(Action::Store { batch, records });
     }
@@ -227,34 +233,34 @@
         let Some(in_flight) = self.records.in_flight.remove(&batch) else {
             return;
         };
-        self.tell_stored_notes();
-        for intent in in_flight.intents {
-            self.send_recorded_start(now, &intent.worker, &intent.task, intent.run);
+        self.apply_stored_acks();
+        for start in in_flight.starts {
+            self.send_recorded_start(now, &start.worker, &start.task, start.run);
         }
     }
 
-    /// Lets workers forget the ends whose effect is stored.
-    fn tell_stored_notes(&mut self) {
-        for notes in self.records.take_stored_notes() {
-            for (name, number) in notes {
+    /// Marks the run ends whose effect is stored, so that the next poll acknowledges them.
+    fn apply_stored_acks(&mut self) {
+        for acks in self.records.take_stored_acks() {
+            for (name, sequence) in acks {
                 if let Some(worker) = self.workers.get_mut(&name) {
-                    worker.stored_end = worker.stored_end.max(number);
+                    worker.stored_end = worker.stored_end.max(sequence);
                 }
             }
         }
     }
 
-    /// Drops jobs that ended long ago, here and in the store.
+    /// Removes jobs whose retention time has passed, here and from the store.
     pub(crate) fn remove_expired_jobs(&mut self, now: TimeMs) {
-        let keep_ms = DurationMs(self.limits.retention_ms.0 + FORGET_MARGIN_MS.0);
-        let old: Vec<JobId> = self
+        let keep_ms = DurationMs(self.limits.retention_ms.0 + DELETE_MARGIN_MS.0);
+        let expired: Vec<JobId> = self
             .jobs
             .iter()
             .filter(|(_, job)| job.ended_at.is_some_and(|at| now.since(at) > keep_ms))
             .filter(|(job_id, _)| !self.records.dirty.contains(job_id))
             .map(|(job_id, _)| job_id.clone())
             .collect();
-        for job_id in old {
+        for job_id in expired {
             self.jobs.remove(&job_id);
             self.actions.push(Action::DeleteJob(job_id));
         }
--- a/ragwortwick-area/src/validation.rs
+++ b/ragwortwick-area/src/validation.rs
@@ -1,13 +1,13 @@
-//! Checks of a job before it is accepted, each with the field at fault.
+//! Validation of a job before it is accepted; each error names the invalid field.
 
 use std::fmt;
 
 use crate::job::JobRecord;
 
-/// Most tasks of one job, over all its occurrences; a record has to fit into one store value.
+/// Maximum number of tasks of one job over all occurrences; a record has to fit into one store value.
 const MAX_TASKS: u64 = 20_000;
 
-/// `JobValidationError` says what is wrong with a job.
+/// `JobValidationError` says which field of a job is invalid and why.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JobValidationError {
     field: String,
@@ -15,7 +15,7 @@
 }
 
 impl JobValidationError {
-    /// `field` is the path of the field at fault.
+    /// `field` is the path of the invalid field.
     #[must_use]
     pub fn field(&self) -> &str {
         &self.field
@@ -30,7 +30,7 @@
 
 impl std::error::Error for JobValidationError {}
 
-fn problem(field: String, problem: impl Into<String>) -> JobValidationError {
+fn invalid(field: String, problem: impl Into<String>) -> JobValidationError {
     JobValidationError {
         field,
         problem: problem.into(),
@@ -38,19 +38,19 @@
 }
 
 impl JobRecord {
-    /// `validate` finds what could never be carried out.
+    /// `validate` rejects a job that could never be carried out.
     ///
     /// # Errors
     ///
-    /// Gives the first problem with its field.
+    /// Returns the first invalid field with the reason.
     pub fn validate(&self) -> Result<(), JobValidationError> {
         if self.steps.is_empty() {
-            return Err(problem("steps".to_owned(), "expected at least one step"));
+            return Err(invalid("steps".to_owned(), "expected at least one step"));
         }
         for (number, step) in self.steps.iter().enumerate() {
             if step.count == 0 {
                 let field = format!("steps[{number}].count");
-                return Err(problem(field, "expected at least one task"));
+                return Err(invalid(field, "expected at least one task"));
             }
             let later = step
                 .after
@@ -59,14 +59,15 @@
             if let Some(later) = later {
                 let field = format!("steps[{number}].after");
                 let text = format!("step {later} is not an earlier step");
-                return Err(problem(field, text));
+                return Err(invalid(field, text));
             }
         }
         let tasks: u64 = self.steps.iter().map(|step| u64::from(step.count)).sum();
-        let all = tasks.saturating_mul(u64::from(self.occurrence_count()));
-        if all > MAX_TASKS {
-            let text = format!("{all} tasks over all occurrences, at most {MAX_TASKS} are taken");
-            return Err(problem("steps".to_owned(), text));
+        let total = tasks.saturating_mul(u64::from(self.occurrence_count()));
+        if total > MAX_TASKS {
+            let text =
+                format!("{total} tasks over all occurrences, at most {MAX_TASKS} are allowed");
+            return Err(invalid("steps".to_owned(), text));
         }
         Ok(())
     }
