--- a/ragwortwick-area/src/backoff.rs
+++ b/ragwortwick-area/src/backoff.rs
@@ -1,37 +1,37 @@
-//! How long a job waits whose starts workers refuse as they are.
+//! Exponential backoff of a job whose starts are refused.
 //!
-//! Answers the load in which each worker refuses a start, wherever it is sent: it would go out again with
-//! each pass.
+//! If every worker refuses a start as it stands, the start would otherwise be sent again with each
+//! placement pass.
 
 use ragwortwick_core::{DurationMs, TimeMs};
 
-/// Pause after the first refusal; it doubles with each further one in a row.
-const FIRST_MS: u64 = 250;
+/// Delay after the first refusal; it doubles with each further consecutive refusal.
+const FIRST_DELAY_MS: u64 = 250;
 
-/// Longest pause: the reason may have been mended meanwhile.
-const MOST_MS: u64 = 8_000;
+/// Longest delay; the cause of the refusals may have been fixed meanwhile.
+const MAX_DELAY_MS: u64 = 8_000;
 
-/// `StartBackoff` is the pause of one job.
+/// `StartBackoff` delays the next start of one job after refusals.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct StartBackoff {
-    refusals_in_row: u32,
-    until: TimeMs,
+    consecutive_refusals: u32,
+    retry_at: TimeMs,
 }
 
 impl StartBackoff {
-    /// When the job may start again; none if it may now.
+    /// When the job may start again; none if it may start now.
     pub(crate) fn retry_at(&self, now: TimeMs) -> Option<TimeMs> {
-        (now < self.until).then_some(self.until)
+        (now < self.retry_at).then_some(self.retry_at)
     }
 
-    /// Takes in a refusal; the starts of a gang that are refused together count as one.
+    /// Counts a refusal; refused starts of the same gang count once.
     pub(crate) fn on_refused(&mut self, now: TimeMs) {
-        if now < self.until {
+        if now < self.retry_at {
             return;
         }
-        let pause_ms = FIRST_MS.saturating_mul(1 << self.refusals_in_row.min(16));
-        self.until = now + DurationMs(pause_ms.min(MOST_MS));
-        self.refusals_in_row += 1;
+        let delay_ms = FIRST_DELAY_MS.saturating_mul(1 << self.consecutive_refusals.min(16));
+        self.retry_at = now + DurationMs(delay_ms.min(MAX_DELAY_MS));
+        self.consecutive_refusals += 1;
     }
 
     pub(crate) fn reset(&mut self) {
--- a/ragwortwick-area/src/crashes.rs
+++ b/ragwortwick-area/src/crashes.rs
@@ -1,9 +1,9 @@
-//! Which tasks a crashed worker tells against, and when a task is given up for it.
+//! Attribution of worker crashes to tasks, and the limit at which a task fails for them.
 //!
-//! Answers the load in which a task crashes each worker that starts it, between tasks that do no harm and
-//! workers that are lost for other reasons. Such a task crashes its workers at one point of its work, mostly
-//! at once, and the tasks beside it differ from crash to crash. A first crash tells against all that ran
-//! there; the next one for those that were at another point when it came.
+//! A faulty task may crash each worker that starts it, among harmless tasks and workers that are lost for
+//! other reasons. Such a task crashes its workers at one point of its work, mostly right at the start, and
+//! the tasks that run beside it differ from crash to crash. A first crash is therefore counted against all
+//! tasks that ran on the worker; a later one counts in favour of those at another point of their work.
 
 use ragwortwick_core::{DurationMs, TimeMs};
 
@@ -11,44 +11,45 @@
 use crate::job::TaskId;
 use crate::worker::Worker;
 
-/// Crashes at the same point of its work until a task is given up.
-const MOST_CRASHES: u32 = 3;
+/// Number of crashes at the same point of its work at which a task fails.
+const MAX_CRASHES: u32 = 3;
 
-/// How long a run counts as starting.
+/// Age up to which a run counts as starting.
 const STARTING_MS: DurationMs = DurationMs(1_000);
 
-/// How far apart crashes at the same point of a task's work may lie, beside a quarter of the time to it.
-const SAME_POINT_MS: DurationMs = DurationMs(250);
+/// Tolerance on the run age, in addition to a quarter of it, within which two crashes count as at the same
+/// point of a task's work.
+const SAME_POINT_TOLERANCE_MS: DurationMs = DurationMs(250);
 
-/// `CrashHistory` is the evidence against one task.
+/// `CrashHistory` holds the worker crashes that are attributed to one task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct CrashHistory {
-    /// Crashes at the same point of its work, less those at other points.
+    /// Crashes at the same point of its work, minus those at other points.
     pub(crate) count: u32,
-    /// How long its run had been going at the last one.
+    /// Age of its run at the last of them.
     pub(crate) run_age_ms: DurationMs,
 }
 
 impl CrashHistory {
-    /// Whether the task is to start with nothing else, so that no other is at the same point as it.
+    /// Whether the task has to start alone on its worker, so that no other run is at the same point.
     pub(crate) fn needs_isolation(self) -> bool {
         self.count > u32::from(self.run_age_ms >= STARTING_MS)
     }
 
     pub(crate) fn is_at_limit(self) -> bool {
-        self.count >= MOST_CRASHES
+        self.count >= MAX_CRASHES
     }
 
-    /// Whether a crash at the given age repeats the last one; one at an age that is not known may.
+    /// Whether a crash at the given run age repeats the last one; at an unknown age it may.
     fn is_repeated_at(self, age_ms: Option<DurationMs>) -> bool {
         let is_same_point = |age_ms: DurationMs| {
-            let (less, more) = (self.run_age_ms.min(age_ms), self.run_age_ms.max(age_ms));
-            more < STARTING_MS || more.0 <= less.0 + less.0 / 4 + SAME_POINT_MS.0
+            let (lower, higher) = (self.run_age_ms.min(age_ms), self.run_age_ms.max(age_ms));
+            higher < STARTING_MS || higher.0 <= lower.0 + lower.0 / 4 + SAME_POINT_TOLERANCE_MS.0
         };
         self.count > 0 && age_ms.is_none_or(is_same_point)
     }
 
-    /// Takes in a crash that counts against the task, or for it if it came at another point of its work.
+    /// Counts a crash attributed to the task; one at another point of its work lowers a count above one.
     pub(crate) fn count_crash(&mut self, age_ms: Option<DurationMs>) {
         if self.count > 1 && !self.is_repeated_at(age_ms) {
             self.count -= 1;
@@ -62,11 +63,11 @@
     }
 }
 
-/// `RunAtLoss` is a run that was or may have been on a worker when that was lost.
+/// `RunAtLoss` is a run that was, or may have been, on a worker when that worker was lost.
 #[derive(Clone, Debug)]
 pub(crate) struct RunAtLoss {
     pub(crate) task: TaskId,
-    /// How long it had been going; none if that is not known.
+    /// Age of the run; none if it is unknown.
     pub(crate) age_ms: Option<DurationMs>,
     pub(crate) crash_history: CrashHistory,
 }
@@ -80,21 +81,21 @@
         self.crash_history.is_repeated_at(self.age_ms)
     }
 
-    /// Whether it repeats a crash at a point that it is unlikely to be at by chance: its start, or one at
-    /// which it was more than once.
+    /// Whether it repeats a crash at a point where the task is unlikely to be by chance: its start, or a
+    /// point of more than one earlier crash.
     fn is_likely(&self) -> bool {
         let may_be_starting = self.age_ms.is_none_or(|age_ms| age_ms < STARTING_MS);
         self.is_repetition() && (may_be_starting || self.crash_history.count > 1)
     }
 }
 
-/// Whether one of the runs is reason enough for the loss of its worker.
+/// Whether one of the runs is a likely cause for the loss of their worker.
 pub(crate) fn has_likely_cause(runs: &[RunAtLoss]) -> bool {
     let mut runs = runs.iter();
     runs.any(|run| run.is_repetition() || run.is_starting())
 }
 
-/// The runs that a crash is noted for: those that are likely to be the reason, or all.
+/// The runs that a crash is attributed to: the likely causes, or all runs if there are none.
 pub(crate) fn suspects(runs: &[RunAtLoss]) -> Vec<&RunAtLoss> {
     let likely: Vec<&RunAtLoss> = runs.iter().filter(|run| run.is_likely()).collect();
     if likely.is_empty() {
@@ -105,21 +106,26 @@
 }
 
 impl Allocation {
-    /// Whether it begins or has just begun.
+    /// Whether the run is starting or has just started.
     fn is_starting(&self, now: TimeMs) -> bool {
         self.started_at.is_none_or(|at| now.since(at) < STARTING_MS)
     }
 }
 
 impl Worker {
-    /// Whether nothing has begun here lately, so that a crash would tell against what begins next alone.
+    /// Whether no run has started here lately, so that a crash would be attributed to the next start alone.
     pub(crate) fn has_no_recent_start(&self, now: TimeMs) -> bool {
-        !self.allocations.values().any(|held| held.is_starting(now))
+        !self
+            .allocations
+            .values()
+            .any(|allocation| allocation.is_starting(now))
     }
 
-    /// Whether a task begins here beside which nothing else is to begin.
+    /// Whether a suspect task is starting here, beside which no other run may start.
     pub(crate) fn is_isolating_suspect(&self, now: TimeMs) -> bool {
-        let mut held = self.allocations.values();
-        held.any(|held| held.crash_history.needs_isolation() && held.is_starting(now))
+        let mut allocations = self.allocations.values();
+        allocations.any(|allocation| {
+            allocation.crash_history.needs_isolation() && allocation.is_starting(now)
+        })
     }
 }
--- a/ragwortwick-area/src/draining.rs
+++ b/ragwortwick-area/src/draining.rs
@@ -1,8 +1,8 @@
-//! What runs on workers that are about to leave.
+//! Evacuation of runs from draining workers.
 //!
-//! Answers the load in which many workers leave at once. Whatever runs there goes on until a last moment,
-//! in which a stop still reaches the worker: work that saves loses nothing by it, and other work may have
-//! ended by then.
+//! Many workers may leave at once. A run there continues until the last moment at which a stop still
+//! reaches the worker: work that saves checkpoints loses nothing by it, and other work may have finished by
+//! then.
 
 use ragwortwick_core::{DurationMs, TimeMs};
 
@@ -11,28 +11,28 @@
 use crate::coordinator::Coordinator;
 use crate::job::TaskId;
 
-/// Time for a stop to reach a leaving worker and its end to be listed, before the worker is gone.
+/// Time for a stop to reach a draining worker and for the run end to be reported before the worker leaves.
 const EVACUATION_MARGIN_MS: DurationMs = DurationMs(500);
 
 impl Coordinator {
-    /// Stops what a leaving worker has no time to finish, while its checkpoint can still be kept.
+    /// Stops runs that a draining worker cannot finish in time, while their checkpoints can still be kept.
     pub(crate) fn evacuate_draining_workers(&mut self, now: TimeMs) {
-        let mut leaving: Vec<TaskId> = Vec::new();
+        let mut due: Vec<TaskId> = Vec::new();
         for worker in self.workers.values() {
             let Some(leaves_at) = worker.leaves_at else {
                 continue;
             };
-            let last_call = leaves_at - DurationMs(self.limits.stop_ms.0 + EVACUATION_MARGIN_MS.0);
-            if now < last_call {
+            let stop_at = leaves_at - DurationMs(self.limits.stop_ms.0 + EVACUATION_MARGIN_MS.0);
+            if now < stop_at {
                 continue;
             }
-            for (task, held) in &worker.allocations {
-                if matches!(held.phase, AllocationPhase::Running { .. }) {
-                    leaving.push(task.clone());
+            for (task, allocation) in &worker.allocations {
+                if matches!(allocation.phase, AllocationPhase::Running { .. }) {
+                    due.push(task.clone());
                 }
             }
         }
-        for task in leaving {
+        for task in due {
             self.stop_with_gang(now, &task, RunEndReason::WorkerLeaves);
         }
     }
--- a/ragwortwick-area/src/losses.rs
+++ b/ragwortwick-area/src/losses.rs
@@ -1,4 +1,4 @@
-//! Workers that are lost with what ran there: how, and what that tells against its tasks.
+//! Lost workers: the cause of each loss, and the attribution of crashes to tasks that ran there.
 
 use std::fmt;
 
@@ -12,29 +12,32 @@
 use crate::outcome::RunOutcome;
 use crate::worker::Worker;
 
-/// How far apart workers may fall silent that were lost together: a closed connection shows at once.
-const TOGETHER_CLOSED_MS: DurationMs = DurationMs(250);
+/// Maximum time between contact losses that count as one event if connections were closed: a closed
+/// connection shows at once.
+const SAME_EVENT_CLOSED_MS: DurationMs = DurationMs(250);
 
-/// The same where nothing answers, which shows when the answer to a look is overdue.
-const TOGETHER_UNANSWERED_MS: DurationMs = DurationMs(3_000);
+/// The same if nothing replies, which shows only once the reply to a poll is overdue.
+const SAME_EVENT_UNANSWERED_MS: DurationMs = DurationMs(3_000);
 
-/// The same of workers lost before the term, which the first looks show.
-const TOGETHER_UNSEEN_MS: DurationMs = DurationMs(1_000);
+/// The same for workers lost before the term, which the first polls show.
+const SAME_EVENT_UNSEEN_MS: DurationMs = DurationMs(1_000);
 
-/// Workers lost together with one, for no reason of their own, from which on its tasks are not the reason.
-const COMMON_LOSSES: usize = 2;
+/// Number of other workers lost in the same event without a likely cause among their own runs, from which
+/// on the runs of a worker are not taken as the cause of its loss.
+const COMMON_CAUSE_LOSSES: usize = 2;
 
-/// How long a loss is remembered: its neighbours come back, or don't, within seconds.
-const REMEMBERED_MS: DurationMs = DurationMs(15_000);
+/// How long a loss is kept for comparison: workers lost in the same event come back, or don't, within
+/// seconds.
+const RECENT_LOSS_MS: DurationMs = DurationMs(15_000);
 
-/// `WorkerLossCause` is how a worker came to be lost.
+/// `WorkerLossCause` is why a worker was lost.
 #[common(key)]
 pub enum WorkerLossCause {
-    /// Another life answers at its address, and it had not said that it would leave.
+    /// Another incarnation replies at its address, and it had not announced that it would leave.
     Crashed,
-    /// It had said that it would leave.
+    /// It had announced that it would leave.
     Left,
-    /// It does not answer, and every lease there has run out: it may be cut off and run on.
+    /// It is unresponsive and every lease granted there has expired; it may be partitioned and still up.
     OutOfReach,
 }
 
@@ -44,126 +47,128 @@
     }
 }
 
-/// `ContactLossKind` is how it showed that a worker no longer answers.
+/// `ContactLossKind` is how the coordinator noticed that a worker is unresponsive.
 #[common(key)]
 pub enum ContactLossKind {
-    /// Its machine closed or refused the connection: the process had ended, or the path was reset.
+    /// Its machine closed or refused the connection: the process ended, or the network path was reset.
     Closed,
-    /// Nothing answered.
+    /// There was no reply.
     Unanswered,
-    /// It was lost before this coordinator heard of it for the first time.
+    /// It was lost before its first reply to this coordinator.
     Unseen,
 }
 
-/// `ContactLoss` is since when a worker does not answer, and how that showed.
+/// `ContactLoss` is the time since which a worker is unresponsive, and how that was noticed.
 #[common]
 #[derive(Copy)]
 pub struct ContactLoss {
-    /// When the first call failed.
+    /// When the first request failed.
     pub since: TimeMs,
-    /// How that showed.
+    /// How it was noticed.
     pub kind: ContactLossKind,
 }
 
 impl ContactLoss {
-    /// Whether two workers fell silent at the same time and in the same way, as far as that can be told.
-    fn is_together(self, other: Self) -> bool {
-        let (early, late) = (self.since.min(other.since), self.since.max(other.since));
+    /// Whether two workers became unresponsive in the same event: at about the same time, in the same way.
+    fn is_same_event(self, other: Self) -> bool {
+        let (earlier, later) = (self.since.min(other.since), self.since.max(other.since));
         let within_ms = match self.kind {
-            ContactLossKind::Closed => TOGETHER_CLOSED_MS,
-            ContactLossKind::Unanswered => TOGETHER_UNANSWERED_MS,
-            ContactLossKind::Unseen => TOGETHER_UNSEEN_MS,
+            ContactLossKind::Closed => SAME_EVENT_CLOSED_MS,
+            ContactLossKind::Unanswered => SAME_EVENT_UNANSWERED_MS,
+            ContactLossKind::Unseen => SAME_EVENT_UNSEEN_MS,
         };
-        self.kind == other.kind && late.since(early) <= within_ms
+        self.kind == other.kind && later.since(earlier) <= within_ms
     }
 }
 
-/// `WorkerLossReport` tells of a lost worker, for the log.
+/// `WorkerLossReport` describes a lost worker for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerLossReport {
     /// The worker.
     pub worker: WorkerName,
     /// Its rack.
     pub rack: RackName,
-    /// How it came to be lost.
+    /// Why it was lost.
     pub cause: WorkerLossCause,
-    /// How it fell silent; none if it was lost before any call failed.
+    /// When and how contact was lost; none if the worker was lost before any request failed.
     pub contact_loss: Option<ContactLoss>,
-    /// Runs that were lost with it, with how long each had been running; none if that is not known.
+    /// Runs that were lost with it, each with its age; none if the age is unknown.
     pub runs: Vec<(TaskId, Option<DurationMs>)>,
-    /// Workers with runs that fell silent at the same time.
+    /// Number of other workers with runs that became unresponsive in the same event.
     pub lost_together: usize,
-    /// The tasks that its crash counts against, each with the crashes that count by now.
+    /// Tasks that the crash is attributed to, each with its number of attributed crashes so far.
     pub suspects: Vec<(TaskId, u32)>,
 }
 
-/// `PastLoss` is a loss that the reasons of others are judged by.
+/// `RecentLoss` is a loss kept to decide whether later ones belong to the same event.
 #[derive(Clone, Debug)]
-pub(crate) struct PastLoss {
+pub(crate) struct RecentLoss {
     worker: WorkerName,
-    silence: ContactLoss,
-    is_explained: bool,
+    contact_loss: ContactLoss,
+    has_likely_cause: bool,
 }
 
-/// `LostWorker` is a lost worker whose reason is to be judged.
+/// `LostWorker` is a lost worker whose loss may be attributed to tasks that ran there.
 #[derive(Clone, Debug)]
 struct LostWorker {
     worker: WorkerName,
     rack: RackName,
     cause: WorkerLossCause,
-    silence: Option<ContactLoss>,
+    contact_loss: Option<ContactLoss>,
     runs: Vec<RunAtLoss>,
 }
 
-/// `RecentLosses` is what is known of workers that were lost lately.
+/// `RecentLosses` tracks the workers that were lost in the last seconds.
 #[derive(Debug, Default)]
 pub(crate) struct RecentLosses {
-    past: Vec<PastLoss>,
-    /// Losses that wait for those found together with them, with when they are judged.
-    unjudged: Vec<(TimeMs, LostWorker)>,
+    losses: Vec<RecentLoss>,
+    /// Losses that wait for others of the same event, each with the time of its attribution.
+    unattributed: Vec<(TimeMs, LostWorker)>,
 }
 
 impl RecentLosses {
-    fn remember(&mut self, now: TimeMs, lost: &LostWorker) {
-        self.past
-            .retain(|past| now.since(past.silence.since) <= REMEMBERED_MS);
-        self.past.extend(lost.silence.map(|silence| PastLoss {
-            worker: lost.worker.clone(),
-            silence,
-            is_explained: has_likely_cause(&lost.runs),
-        }));
+    fn record(&mut self, now: TimeMs, lost: &LostWorker) {
+        self.losses
+            .retain(|loss| now.since(loss.contact_loss.since) <= RECENT_LOSS_MS);
+        self.losses
+            .extend(lost.contact_loss.map(|contact_loss| RecentLoss {
+                worker: lost.worker.clone(),
+                contact_loss,
+                has_likely_cause: has_likely_cause(&lost.runs),
+            }));
     }
 }
 
 impl Worker {
-    /// How long a run had been going when the worker was last known to be there; none if it is not
-    /// known when the run began. An order without an answer may have begun just then.
-    fn age_of(&self, held: &Allocation) -> Option<DurationMs> {
-        match (held.phase, held.started_at) {
+    /// Age of a run when the worker was last known to be up; none if its start time is unknown. A start
+    /// without a reply may have been carried out just then.
+    fn run_age_ms(&self, allocation: &Allocation) -> Option<DurationMs> {
+        match (allocation.phase, allocation.started_at) {
             (AllocationPhase::Recovered, _) => None,
             (_, None) => Some(DurationMs(0)),
-            (_, Some(started_at)) => Some(self.last_there().since(started_at)),
+            (_, Some(started_at)) => Some(self.last_up_at().since(started_at)),
         }
     }
 
-    /// What was or may have been running there when it was last there.
+    /// The runs that were, or may have been, on the worker when it was last up.
     fn runs_at_loss(&self) -> Vec<RunAtLoss> {
-        let held = self.allocations.iter();
-        let sent = held.filter(|(_, held)| held.phase != AllocationPhase::AwaitingRecord);
-        let runs = sent.map(|(task, held)| RunAtLoss {
+        let allocations = self.allocations.iter();
+        let sent = allocations
+            .filter(|(_, allocation)| allocation.phase != AllocationPhase::AwaitingRecord);
+        let runs = sent.map(|(task, allocation)| RunAtLoss {
             task: task.clone(),
-            age_ms: self.age_of(held),
-            crash_history: held.crash_history,
+            age_ms: self.run_age_ms(allocation),
+            crash_history: allocation.crash_history,
         });
         runs.collect()
     }
 
-    /// How it fell silent, if it is lost now; none if calls to it were answered until now.
-    fn silence_at_loss(&self, now: TimeMs) -> Option<ContactLoss> {
+    /// The contact loss of a worker that is lost now; none if it replied to requests until now.
+    fn contact_loss_at(&self, now: TimeMs) -> Option<ContactLoss> {
         let is_unseen = self
             .allocations
             .values()
-            .all(|held| held.phase == AllocationPhase::Recovered);
+            .all(|allocation| allocation.phase == AllocationPhase::Recovered);
         let unseen = ContactLoss {
             since: now,
             kind: ContactLossKind::Unseen,
@@ -171,8 +176,8 @@
         self.contact_loss.or_else(|| is_unseen.then_some(unseen))
     }
 
-    /// The last moment at which it was there: a closed connection tells when it ended.
-    fn last_there(&self) -> TimeMs {
+    /// When the worker was last known to be up; a closed connection shows when it went down.
+    fn last_up_at(&self) -> TimeMs {
         match self.contact_loss {
             Some(ContactLoss {
                 since,
@@ -184,7 +189,7 @@
 }
 
 impl Coordinator {
-    /// A worker is lost: nothing runs there any more.
+    /// Ends all runs on a lost worker, where nothing runs any more.
     pub(crate) fn lose_worker(&mut self, now: TimeMs, name: &WorkerName, cause: WorkerLossCause) {
         let Some(worker) = self.workers.get(name) else {
             return;
@@ -198,7 +203,7 @@
             } else {
                 cause
             },
-            silence: worker.silence_at_loss(now),
+            contact_loss: worker.contact_loss_at(now),
             runs: worker.runs_at_loss(),
         };
         for (task, run) in self.runs_on(name) {
@@ -210,30 +215,33 @@
         if lost.runs.is_empty() {
             return;
         }
-        self.losses.remember(now, &lost);
-        let kind = lost.silence.map(|silence| silence.kind);
+        self.losses.record(now, &lost);
+        let kind = lost.contact_loss.map(|contact_loss| contact_loss.kind);
         if kind == Some(ContactLossKind::Unseen) {
-            let judged_at = now + TOGETHER_UNSEEN_MS;
-            self.losses.unjudged.push((judged_at, lost));
+            let attributed_at = now + SAME_EVENT_UNSEEN_MS;
+            self.losses.unattributed.push((attributed_at, lost));
         } else {
-            self.judge(now, lost);
+            self.attribute_loss(now, lost);
         }
     }
 
-    /// Judges the losses that have waited for others.
+    /// Attributes the losses that have waited long enough for others of the same event.
     pub(crate) fn attribute_losses(&mut self, now: TimeMs) {
-        let unjudged = std::mem::take(&mut self.losses.unjudged);
-        let (due, later): (Vec<_>, Vec<_>) = unjudged.into_iter().partition(|(at, _)| *at <= now);
-        self.losses.unjudged = later;
+        let unattributed = std::mem::take(&mut self.losses.unattributed);
+        let (due, later): (Vec<_>, Vec<_>) =
+            unattributed.into_iter().partition(|(at, _)| *at <= now);
+        self.losses.unattributed = later;
         for (_, lost) in due {
-            self.judge(now, lost);
+            self.attribute_loss(now, lost);
         }
     }
 
-    fn judge(&mut self, now: TimeMs, lost: LostWorker) {
-        let (lost_together, may_be_task) = self.lost_together(&lost.worker, lost.silence);
-        let blamed = match lost.cause {
-            WorkerLossCause::Crashed if may_be_task => self.blame(now, &suspects(&lost.runs)),
+    fn attribute_loss(&mut self, now: TimeMs, lost: LostWorker) {
+        let (lost_together, may_be_task) = self.lost_together(&lost.worker, lost.contact_loss);
+        let suspects = match lost.cause {
+            WorkerLossCause::Crashed if may_be_task => {
+                self.attribute_crash(now, &suspects(&lost.runs))
+            }
             WorkerLossCause::Crashed | WorkerLossCause::Left | WorkerLossCause::OutOfReach => {
                 Vec::new()
             }
@@ -243,59 +251,66 @@
             worker: lost.worker,
             rack: lost.rack,
             cause: lost.cause,
-            contact_loss: lost.silence,
+            contact_loss: lost.contact_loss,
             runs: runs.collect(),
             lost_together,
-            suspects: blamed,
+            suspects,
         }));
     }
 
-    /// Notes a crash for the tasks that may be the reason; gives them with their counts.
-    fn blame(&mut self, now: TimeMs, suspects: &[&RunAtLoss]) -> Vec<(TaskId, u32)> {
+    /// Counts a crash for each suspect task; returns the tasks with their counts.
+    fn attribute_crash(&mut self, now: TimeMs, suspects: &[&RunAtLoss]) -> Vec<(TaskId, u32)> {
         let mut counts = Vec::with_capacity(suspects.len());
         for run in suspects {
             let Some(job) = self.jobs.get_mut(&run.task.job_id) else {
                 continue;
             };
-            let is_over = job.count_crash(&run.task, run.age_ms);
+            let is_failed = job.count_crash(&run.task, run.age_ms);
             let count = job
                 .task(&run.task)
                 .map_or(0, |task| task.crash_history.count);
             counts.push((run.task.clone(), count));
-            if is_over {
+            if is_failed {
                 self.end_job(now, &run.task.job_id);
             }
         }
         counts
     }
 
-    /// Counts the other workers with runs that fell silent at the same time, those that are lost and
-    /// those that may come back; tells whether a task of the worker may have been the reason.
+    /// Counts the other workers with runs that became unresponsive in the same event, whether lost by now
+    /// or still expected back, and reports whether a task of this worker may have caused the loss.
     ///
-    /// A task ends the process of its worker, so that the machine closes its connections. A worker that
-    /// does not answer at all has lost its power or its path. Several with closed connections, or that
-    /// were lost before this term, were cut off or ended together if their own tasks are no reason.
-    fn lost_together(&self, name: &WorkerName, silence: Option<ContactLoss>) -> (usize, bool) {
-        let Some(silence) = silence else {
-            // Nothing tells when it was lost.
+    /// A task can end the process of its worker, whereupon the machine closes its connections. A worker
+    /// that does not reply at all has lost power or its network path. Several workers with closed
+    /// connections, or lost before this term, have a common cause outside their tasks, unless their own
+    /// runs give a likely cause.
+    fn lost_together(&self, name: &WorkerName, contact_loss: Option<ContactLoss>) -> (usize, bool) {
+        let Some(contact_loss) = contact_loss else {
+            // The time of the loss is unknown.
             return (0, false);
         };
         let others = self.workers.iter().filter(|(other, _)| *other != name);
-        let silent = others.filter_map(|(_, worker)| {
-            let silence = worker.contact_loss?;
+        let unresponsive = others.filter_map(|(_, worker)| {
+            let contact_loss = worker.contact_loss?;
             let runs = worker.runs_at_loss();
-            (!runs.is_empty()).then(|| (silence, has_likely_cause(&runs)))
+            (!runs.is_empty()).then(|| (contact_loss, has_likely_cause(&runs)))
         });
-        let lost = self.losses.past.iter().filter(|past| past.worker != *name);
-        let lost = lost.map(|past| (past.silence, past.is_explained));
-        let together: Vec<bool> = silent
+        let lost = self
+            .losses
+            .losses
+            .iter()
+            .filter(|loss| loss.worker != *name);
+        let lost = lost.map(|loss| (loss.contact_loss, loss.has_likely_cause));
+        let same_event: Vec<bool> = unresponsive
             .chain(lost)
-            .filter(|(other, _)| other.is_together(silence))
-            .map(|(_, is_explained)| is_explained)
+            .filter(|(other, _)| other.is_same_event(contact_loss))
+            .map(|(_, has_likely_cause)| has_likely_cause)
             .collect();
-        let unexplained = together.iter().filter(|is_explained| !**is_explained);
-        let may_be_task =
-            silence.kind != ContactLossKind::Unanswered && unexplained.count() < COMMON_LOSSES;
-        (together.len(), may_be_task)
+        let unexplained = same_event
+            .iter()
+            .filter(|has_likely_cause| !**has_likely_cause);
+        let may_be_task = contact_loss.kind != ContactLossKind::Unanswered
+            && unexplained.count() < COMMON_CAUSE_LOSSES;
+        (same_event.len(), may_be_task)
     }
 }
--- a/ragwortwick-area/src/progress_tracker.rs
+++ b/ragwortwick-area/src/progress_tracker.rs
@@ -1,106 +1,106 @@
-//! How far a run is by what its worker tells, and what that says of its rest.
+//! Progress of a run from the samples that its worker reports, and the remaining time estimated from it.
 
 use ragwortwick_core::DurationMs;
 
-/// Least share of its expected duration, in per cent, after which a run that stands still is noticed:
-/// progress comes in whole per cents.
-const LEAST_EXPECTED_PERCENT: u64 = 8;
+/// Minimum time without progress, as a percentage of the expected duration, after which a run counts as
+/// stalled: progress is reported in whole per cent.
+const STALL_PERCENT_OF_EXPECTED: u64 = 8;
 
-/// Least time between two figures that are compared; looks that follow an end come milliseconds apart.
-const LEAST_SPAN_MS: u64 = 400;
+/// Minimum time between two samples that are compared; polls that follow a run end are milliseconds apart.
+const MIN_SAMPLE_INTERVAL_MS: u64 = 400;
 
-/// `Told` is a run's progress as its worker told it at a time of its own clock.
+/// `ProgressSample` is the progress of a run that its worker reported, with the time on the worker's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Told {
+struct ProgressSample {
     clock_ms: u64,
     percent: u32,
 }
 
-/// `ProgressTracker` follows the progress of one run.
+/// `ProgressTracker` tracks the progress of one run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ProgressTracker {
-    first: Told,
-    /// The figure that the next one is compared with.
-    last: Told,
-    /// When the run was last known to move on.
-    moved_clock_ms: u64,
-    /// Whether its duration was compared with others.
+    first: ProgressSample,
+    /// The sample that the next one is compared with.
+    last: ProgressSample,
+    /// Time of the last sample that showed progress.
+    advanced_clock_ms: u64,
+    /// Whether its duration was used as a sample of its worker's speed.
     pub(crate) is_speed_sampled: bool,
 }
 
-/// `ProgressChange` is what two figures of a run's progress show.
+/// `ProgressChange` is what two progress samples of a run show.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ProgressChange {
-    /// They lie too close together.
+    /// The samples are too close together.
     Inconclusive,
-    /// It stands still.
+    /// The run has made no progress.
     Stalled,
-    /// It moves on, or is done and waits for others of its gang.
+    /// The run has made progress, or is done and waits for other members of its gang.
     Advancing,
 }
 
 impl ProgressTracker {
-    /// A run that was at the given progress at a time of its worker's clock.
+    /// Starts tracking a run at the given progress and time on its worker's clock.
     pub(crate) fn new(clock_ms: u64, percent: u32) -> Self {
-        let told = Told { clock_ms, percent };
+        let sample = ProgressSample { clock_ms, percent };
         Self {
-            first: told,
-            last: told,
-            moved_clock_ms: clock_ms,
+            first: sample,
+            last: sample,
+            advanced_clock_ms: clock_ms,
             is_speed_sampled: false,
         }
     }
 
-    /// Takes in a further figure.
+    /// Records a further sample.
     pub(crate) fn record(
         &mut self,
         clock_ms: u64,
         percent: u32,
         expected_ms: DurationMs,
     ) -> ProgressChange {
-        let is_moving = percent > self.last.percent || percent >= 100;
+        let is_advancing = percent > self.last.percent || percent >= 100;
         let span_ms = clock_ms.saturating_sub(self.last.clock_ms);
-        let least_ms = expected_ms.0 * LEAST_EXPECTED_PERCENT / 100;
-        if !is_moving && span_ms < least_ms.max(LEAST_SPAN_MS) {
+        let min_stall_ms = expected_ms.0 * STALL_PERCENT_OF_EXPECTED / 100;
+        if !is_advancing && span_ms < min_stall_ms.max(MIN_SAMPLE_INTERVAL_MS) {
             return ProgressChange::Inconclusive;
         }
-        self.last = Told { clock_ms, percent };
-        if is_moving {
-            self.moved_clock_ms = clock_ms;
+        self.last = ProgressSample { clock_ms, percent };
+        if is_advancing {
+            self.advanced_clock_ms = clock_ms;
             ProgressChange::Advancing
         } else {
             ProgressChange::Stalled
         }
     }
 
-    /// How long it has stood still when it was last heard of.
+    /// How long the run had made no progress at the last sample.
     pub(crate) fn stalled_ms(&self) -> DurationMs {
-        DurationMs(self.last.clock_ms.saturating_sub(self.moved_clock_ms))
+        DurationMs(self.last.clock_ms.saturating_sub(self.advanced_clock_ms))
     }
 
-    /// Share of its work that was seen to be done, in per cent.
+    /// Share of the work that was done while the run was tracked, in per cent.
     pub(crate) fn observed_percent(&self) -> u32 {
         self.last.percent.saturating_sub(self.first.percent)
     }
 
-    /// How long its whole work takes at the speed seen so far; none before it has moved.
+    /// Estimated duration of the whole work at the speed so far; none before any progress.
     pub(crate) fn total_ms(&self) -> Option<DurationMs> {
-        let moved = u64::from(self.last.percent.saturating_sub(self.first.percent));
-        let span_ms = self.moved_clock_ms.saturating_sub(self.first.clock_ms);
-        (moved > 0).then(|| DurationMs(span_ms * 100 / moved))
+        let observed = u64::from(self.last.percent.saturating_sub(self.first.percent));
+        let span_ms = self.advanced_clock_ms.saturating_sub(self.first.clock_ms);
+        (observed > 0).then(|| DurationMs(span_ms * 100 / observed))
     }
 
-    /// Time that its present progress took or would take again.
+    /// Time that the progress so far took, which is also the time to repeat it.
     pub(crate) fn completed_work_ms(&self, expected_ms: DurationMs) -> DurationMs {
-        let whole_ms = self.total_ms().unwrap_or(expected_ms);
-        DurationMs(whole_ms.0 * u64::from(self.last.percent) / 100)
+        let total_ms = self.total_ms().unwrap_or(expected_ms);
+        DurationMs(total_ms.0 * u64::from(self.last.percent) / 100)
     }
 
-    /// What is left at a time of its worker's clock, at the speed seen so far.
+    /// Estimated remaining time at the given time on the worker's clock, at the speed so far.
     pub(crate) fn remaining_ms(&self, clock_ms: u64) -> Option<DurationMs> {
-        let whole_ms = self.total_ms()?;
-        let left_ms = whole_ms.0 * u64::from(100 - self.last.percent.min(100)) / 100;
+        let total_ms = self.total_ms()?;
+        let remaining_ms = total_ms.0 * u64::from(100 - self.last.percent.min(100)) / 100;
         let since_ms = clock_ms.saturating_sub(self.last.clock_ms);
-        Some(DurationMs(left_ms.saturating_sub(since_ms)))
+        Some(DurationMs(remaining_ms.saturating_sub(since_ms)))
     }
 }
