--- a/ragwortwick-area/tests/account.rs
+++ b/ragwortwick-area/tests/account.rs
@@ -1,4 +1,4 @@
-//! What the record of a job's end tells of its time and of work that was lost.
+//! The accounting in the record of an ended job: the time per phase and the lost work.
 
 mod rig;
 
@@ -6,34 +6,34 @@
 use ragwortwick_core::{DurationMs, JobId};
 use rig::{Rig, ended, gang, step, worker};
 
-/// Takes and confirms the batches that wait; gives the accounts of the jobs that ended in them.
-fn accounts(rig: &mut Rig) -> Vec<(JobId, JobAccounting)> {
-    let mut accounts = Vec::new();
+/// Takes and confirms the pending batches; returns the accounting of the jobs that ended in them.
+fn ended_jobs(rig: &mut Rig) -> Vec<(JobId, JobAccounting)> {
+    let mut ended_jobs = Vec::new();
     for (batch, records) in rig.batches() {
-        let ended = records.into_iter();
-        accounts.extend(ended.filter_map(|record| Some((record.job_id, record.accounting?))));
+        let records = records.into_iter();
+        ended_jobs.extend(records.filter_map(|record| Some((record.job_id, record.accounting?))));
         rig.send(Event::BatchStored { batch });
     }
-    accounts
+    ended_jobs
 }
 
-fn whole_ms(account: &JobAccounting) -> u64 {
+fn total_ms(accounting: &JobAccounting) -> u64 {
     [
-        account.queued_ms,
-        account.requeued_ms,
-        account.starting_ms,
-        account.running_ms,
+        accounting.queued_ms,
+        accounting.requeued_ms,
+        accounting.starting_ms,
+        accounting.running_ms,
     ]
     .iter()
-    .map(|span_ms| span_ms.0)
+    .map(|phase_ms| phase_ms.0)
     .sum()
 }
 
 const PATIENT: &str = "00000000000000a0";
 const URGENT: &str = "00000000000000a1";
 
-/// The account of a job that has run for so long, gives way to another for half a second, and is done later.
-fn displaced(step: StepSpec, ran_ms: u64) -> JobAccounting {
+/// The accounting of a job that runs for `ran_ms`, is preempted for half a second, and is then done.
+fn preempted(step: StepSpec, ran_ms: u64) -> JobAccounting {
     let mut rig = Rig::new(&[worker("w1", "r1")]);
     rig.submit_as(PATIENT, "c", "patient", step);
     let first = rig.start_all();
@@ -53,42 +53,42 @@
     rig.advance(300);
     rig.poll_reply("w1", Vec::new(), vec![ended(3, &third[0], EndKind::Done)]);
     rig.advance(20);
-    let mut accounts = accounts(&mut rig).into_iter();
-    let of_job = accounts.find(|(job_id, _)| job_id.as_str() == PATIENT);
-    of_job.expect("the end is told with its account").1
+    let mut ended_jobs = ended_jobs(&mut rig).into_iter();
+    let of_job = ended_jobs.find(|(job_id, _)| job_id.as_str() == PATIENT);
+    of_job.expect("the end is stored with its accounting").1
 }
 
-fn saving() -> StepSpec {
+fn checkpointed() -> StepSpec {
     StepSpec {
         saves_checkpoints: true,
         ..step(1, 8)
     }
 }
 
-/// Guards against a late job whose line names another cause than the stop that made it late.
+/// Guards against a late job whose log line names another cause than the stop that delayed it.
 #[test]
 fn verify_a_displaced_job_tells_what_it_lost_and_for_whom() {
-    let account = displaced(step(1, 8), 1_000);
-    let lost = &account.lost_work[&RunEndReason::Displaced];
-    assert_eq!((account.starts, lost.runs), (2, 1));
+    let accounting = preempted(step(1, 8), 1_000);
+    let lost = &accounting.lost_work[&RunEndReason::Displaced];
+    assert_eq!((accounting.starts, lost.runs), (2, 1));
     assert!(
         lost.core_ms >= 1_000 * 64,
-        "a second of 8 accelerators: {lost:?}"
+        "one second of 8 accelerators: {lost:?}"
     );
-    assert_eq!(account.preempted_by, Some(JobId::new(URGENT)));
-    assert!(account.requeued_ms >= DurationMs(500), "{account:?}");
-    assert!(account.lost_ms >= DurationMs(1_000), "{account:?}");
-    assert!(account.is_complete);
-    let lived_ms = 20 + 1_000 + 200 + 20 + 500 + 20 + 300;
-    assert_eq!(whole_ms(&account), lived_ms, "{account:?}");
+    assert_eq!(accounting.preempted_by, Some(JobId::new(URGENT)));
+    assert!(accounting.requeued_ms >= DurationMs(500), "{accounting:?}");
+    assert!(accounting.lost_ms >= DurationMs(1_000), "{accounting:?}");
+    assert!(accounting.is_complete);
+    let lifetime_ms = 20 + 1_000 + 200 + 20 + 500 + 20 + 300;
+    assert_eq!(total_ms(&accounting), lifetime_ms, "{accounting:?}");
 }
 
-/// Guards against work that is told as lost though its checkpoint keeps it.
+/// Guards against work that is reported as lost although its checkpoint keeps it.
 #[test]
 fn verify_a_stop_of_work_that_saves_loses_no_more_than_its_resuming() {
     let mut rig = Rig::new(&[worker("w1", "r1")]);
     let id = "00000000000000b0";
-    rig.submit(id, "patient", saving());
+    rig.submit(id, "patient", checkpointed());
     let start = rig.start_all();
     rig.advance(5_000);
     rig.send(Event::JobCancelled(JobId::new(id)));
@@ -98,37 +98,37 @@
         vec![ended(1, &start[0], EndKind::Stopped)],
     );
     let lost: Vec<u64> = rig.take(|action| match action {
-        Action::LogRunEnd(over) if over.reason == RunEndReason::JobOver => Some(over.lost_core_ms),
+        Action::LogRunEnd(end) if end.reason == RunEndReason::JobOver => Some(end.lost_core_ms),
         _ => None,
     });
     assert_eq!(lost.len(), 1);
     assert!(lost[0] < 5_000 * 64 / 2, "{lost:?}");
 }
 
-/// Guards against a job that saves and looks as if all its work had been in vain, so that it counts as late.
+/// Guards against a checkpointed job whose whole work counts as lost, so that the job counts as late.
 #[test]
 fn verify_time_whose_work_was_saved_is_not_in_vain() {
-    let account = displaced(saving(), 5_000);
-    assert!(account.running_ms >= DurationMs(5_000), "{account:?}");
-    assert!(account.lost_ms < DurationMs(500), "{account:?}");
+    let accounting = preempted(checkpointed(), 5_000);
+    assert!(accounting.running_ms >= DurationMs(5_000), "{accounting:?}");
+    assert!(accounting.lost_ms < DurationMs(500), "{accounting:?}");
 }
 
-/// Guards against an account that counts a job's end twice, or tells it before the end.
+/// Guards against accounting that is reported twice for a job, or before the job has ended.
 #[test]
 fn verify_an_account_is_told_once_with_the_end() {
     let mut rig = Rig::new(&[worker("w1", "r1")]);
     let id = "00000000000000c0";
     rig.submit(id, "middle", step(1, 1));
     rig.advance(20);
-    assert!(accounts(&mut rig).is_empty(), "it has only begun");
+    assert!(ended_jobs(&mut rig).is_empty(), "it has only started");
     for start in rig.starts() {
         rig.accept(&start);
     }
     rig.send(Event::JobCancelled(JobId::new(id)));
     rig.advance(20);
-    let told = accounts(&mut rig);
-    assert_eq!(told.len(), 1);
-    assert!(!told[0].1.lost_work.contains_key(&RunEndReason::Done));
+    let ended_once = ended_jobs(&mut rig);
+    assert_eq!(ended_once.len(), 1);
+    assert!(!ended_once[0].1.lost_work.contains_key(&RunEndReason::Done));
     rig.advance(500);
-    assert!(accounts(&mut rig).is_empty());
+    assert!(ended_jobs(&mut rig).is_empty());
 }
--- a/ragwortwick-area/tests/crashes.rs
+++ b/ragwortwick-area/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! Tasks that crash the workers that start them, and workers that are lost for other reasons.
+//! Tasks that crash the workers that start them, and workers that are lost for other causes.
 
 mod rig;
 
@@ -13,18 +13,18 @@
 use rig::{Rig, gang, job, running, step, worker};
 
 /// Starts of a task that are allowed once three workers have crashed under it.
-const MOST_STARTS_AFTER: usize = 2;
+const MAX_STARTS_AFTER_CRASHES: usize = 2;
 
 /// Crashes after which these starts are counted.
-const CRASHES_BEFORE: usize = 3;
+const COUNTED_AFTER_CRASHES: usize = 3;
 
-/// How long a crashed worker is away.
-const AWAY_MS: u64 = 3_000;
+/// How long a crashed worker is down.
+const DOWN_MS: u64 = 3_000;
 
-/// Workers of which each life has a name of its own.
+/// Workers whose incarnations each have a name of their own.
 struct Fleet {
     entries: Vec<WorkerEntry>,
-    lives: u32,
+    incarnations: u32,
 }
 
 impl Fleet {
@@ -32,25 +32,25 @@
         let entries = (0..count).map(|number| worker(&format!("w{number}"), "r1"));
         Self {
             entries: entries.collect(),
-            lives: 0,
+            incarnations: 0,
         }
     }
 
-    /// The process of a worker ends, and another life of it answers some seconds later.
+    /// Ends the process of a worker; another incarnation replies some seconds later.
     fn crash(&mut self, rig: &mut Rig, name: &WorkerName) {
         rig.poll_fails_with(name, PollFailure::Closed);
-        rig.advance(AWAY_MS);
+        rig.advance(DOWN_MS);
         rig.poll_fails_with(name, PollFailure::WrongLife);
-        self.come_back(rig, name);
+        self.restart(rig, name);
     }
 
-    /// Another life of a lost worker is listed, at the same address.
-    fn come_back(&mut self, rig: &mut Rig, name: &WorkerName) {
-        self.lives += 1;
-        let next = WorkerName::new(format!("{}-{}", name.as_str(), self.lives));
+    /// Lists another incarnation of a lost worker at the same address.
+    fn restart(&mut self, rig: &mut Rig, name: &WorkerName) {
+        self.incarnations += 1;
+        let next = WorkerName::new(format!("{}-{}", name.as_str(), self.incarnations));
         let mut entries = self.entries.iter_mut();
         let entry = entries.find(|entry| entry.name == *name);
-        let entry = entry.expect("it is one of them");
+        let entry = entry.expect("a worker of the fleet");
         entry.name = next;
         let entry = entry.clone();
         rig.send(Event::WorkerRemoved(name.clone()));
@@ -58,7 +58,7 @@
     }
 }
 
-/// An area in which one worker has crashed under a task that waits again.
+/// Returns an area in which one worker has crashed under a task that waits again.
 fn after_a_crash(workers: u32, queue: &str) -> (Fleet, Rig, TaskId) {
     let mut fleet = Fleet::new(workers);
     let mut rig = Rig::new(&fleet.entries);
@@ -74,7 +74,7 @@
 
 const CRASHER: &str = "00000000000000d1";
 
-/// A task that crashes each worker that starts it must not take down one worker after the other.
+/// Guards against a task that crashes each worker that starts it, one worker after the other.
 #[test]
 fn verify_a_task_that_crashes_its_workers_is_given_up() {
     let mut fleet = Fleet::new(6);
@@ -84,8 +84,8 @@
     while let [start] = &*rig.start_all() {
         starts += 1;
         assert!(
-            starts <= CRASHES_BEFORE + MOST_STARTS_AFTER,
-            "started once more"
+            starts <= COUNTED_AFTER_CRASHES + MAX_STARTS_AFTER_CRASHES,
+            "started too often"
         );
         let name = start.0.clone();
         fleet.crash(&mut rig, &name);
@@ -93,7 +93,7 @@
     assert_eq!(phase(&rig, CRASHER), Some(JobPhase::Failed));
 }
 
-/// A new coordinator that counts crashes from zero lets a task take down as many workers again.
+/// Guards against a new coordinator that counts crashes from zero, so that as many workers crash again.
 #[test]
 fn verify_crashes_of_a_task_count_across_takeovers() {
     let mut fleet = Fleet::new(6);
@@ -119,20 +119,20 @@
         };
         starts += 1;
         assert!(
-            starts <= CRASHES_BEFORE + MOST_STARTS_AFTER,
-            "started once more"
+            starts <= COUNTED_AFTER_CRASHES + MAX_STARTS_AFTER_CRASHES,
+            "started too often"
         );
         rig.accept(start);
         fleet.crash(&mut rig, &start.0);
-        // The coordinator stores what it has heard, and dies before the next start.
+        // The coordinator stores the crash, and ends before the next start.
         let records = rig.batches().pop().map(|(_, records)| records);
         let of_job = records.and_then(|mut records| records.pop());
         progress = of_job.map(|record| record.progress).or(progress);
     }
-    panic!("the task is never given up");
+    panic!("the task never fails");
 }
 
-/// The tasks beside one that crashes its workers lose their runs as often, and have done nothing.
+/// Guards against failing harmless tasks that lose as many runs beside a task that crashes its workers.
 #[test]
 fn verify_tasks_beside_one_that_crashes_workers_are_not_given_up() {
     let mut fleet = Fleet::new(3);
@@ -155,7 +155,7 @@
     }
     assert_eq!(phase(&rig, CRASHER), Some(JobPhase::Failed));
     assert!(
-        workers_lost <= CRASHES_BEFORE + MOST_STARTS_AFTER,
+        workers_lost <= COUNTED_AFTER_CRASHES + MAX_STARTS_AFTER_CRASHES,
         "{workers_lost} lost"
     );
     for number in 0..6 {
@@ -164,11 +164,11 @@
     }
 }
 
-/// A worker that crashes while a suspect and something new begin there would tell against both.
+/// Guards against a start beside a suspect task: a crash would then be attributed to both.
 #[test]
 fn verify_nothing_begins_beside_a_task_that_may_crash_its_worker() {
     let (_, mut rig, _) = after_a_crash(1, "urgent");
-    assert_eq!(rig.start_all().len(), 1, "the suspect begins again");
+    assert_eq!(rig.start_all().len(), 1, "the suspect starts again");
     rig.submit("00000000000000e1", "urgent", step(1, 1));
     assert_eq!(rig.start_all(), vec![]);
     rig.advance(1_100);
@@ -179,7 +179,7 @@
     );
 }
 
-/// Jobs on a rack that goes out several times lose their workers through no fault of their own.
+/// Guards against failing jobs on a rack that fails several times, a cause outside the jobs.
 #[test]
 fn verify_a_job_on_a_rack_that_goes_out_is_not_given_up() {
     for failure in [PollFailure::NoAnswer, PollFailure::Closed] {
@@ -198,10 +198,10 @@
             for start in &starts {
                 rig.poll_fails_with(&start.0, failure);
             }
-            rig.advance(AWAY_MS);
+            rig.advance(DOWN_MS);
             for start in &starts {
                 rig.poll_fails_with(&start.0, PollFailure::WrongLife);
-                fleet.come_back(&mut rig, &start.0);
+                fleet.restart(&mut rig, &start.0);
             }
         }
         for id in ids {
@@ -210,48 +210,48 @@
     }
 }
 
-/// Plays a task that loses a worker after each of these times.
-fn loses_workers_after(spans_ms: &[u64], spec: StepSpec) -> Option<JobPhase> {
+/// Runs a task whose workers crash one after the other, each after the given time.
+fn phase_after_crashes(run_ages_ms: &[u64], spec: StepSpec) -> Option<JobPhase> {
     let mut fleet = Fleet::new(2);
     let mut rig = Rig::new(&fleet.entries);
     rig.submit(CRASHER, "urgent", spec);
-    for &span_ms in spans_ms {
+    for &run_age_ms in run_ages_ms {
         let starts = rig.start_all();
         let Some(start) = starts.first() else { break };
-        rig.advance(span_ms);
+        rig.advance(run_age_ms);
         fleet.crash(&mut rig, &start.0);
     }
     phase(&rig, CRASHER)
 }
 
-/// A task that crashes its workers in the middle of its work takes down as many as one that does at once.
+/// Guards against a task that crashes its workers midway and is restarted without end.
 #[test]
 fn verify_a_task_that_crashes_workers_midway_is_given_up() {
-    let spans_ms = [4_000, 4_300, 3_800];
-    let phase = loses_workers_after(&spans_ms, step(1, 8));
+    let run_ages_ms = [4_000, 4_300, 3_800];
+    let phase = phase_after_crashes(&run_ages_ms, step(1, 8));
     assert_eq!(phase, Some(JobPhase::Failed));
 }
 
-/// A task that loses one worker after the other, each at another point of its work, is out of luck.
+/// Guards against failing a task whose workers crash at different points of its work.
 #[test]
 fn verify_a_task_that_loses_workers_now_and_then_is_not_given_up() {
-    let spans_ms = [4_000, 9_000, 200, 14_000, 2_500, 7_000];
-    let phase = loses_workers_after(&spans_ms, step(1, 8));
+    let run_ages_ms = [4_000, 9_000, 200, 14_000, 2_500, 7_000];
+    let phase = phase_after_crashes(&run_ages_ms, step(1, 8));
     assert_eq!(phase, Some(JobPhase::Running));
 }
 
-/// What has to last is started again however it ends, but not on one worker after the other.
+/// Guards against a long-running task, always restarted, that crashes one worker after the other.
 #[test]
 fn verify_a_lasting_task_that_crashes_its_workers_is_given_up() {
     let spec = StepSpec {
         is_long_running: true,
         ..step(1, 8)
     };
-    let phase = loses_workers_after(&[10, 10, 10], spec);
+    let phase = phase_after_crashes(&[10, 10, 10], spec);
     assert_eq!(phase, Some(JobPhase::Failed));
 }
 
-/// A worker that was told that it would leave is gone when it said.
+/// Guards against counting the announced end of a draining worker as a crash.
 #[test]
 fn verify_a_job_whose_workers_leave_is_not_given_up() {
     let mut fleet = Fleet::new(2);
@@ -264,14 +264,14 @@
         let entry = fleet.entries.iter().find(|entry| entry.name == *name);
         rig.send(Event::WorkerUpdated(WorkerEntry {
             is_draining: true,
-            ..entry.expect("it is one of them").clone()
+            ..entry.expect("a worker of the fleet").clone()
         }));
         fleet.crash(&mut rig, name);
     }
     assert_eq!(phase(&rig, CRASHER), Some(JobPhase::Running));
 }
 
-/// A worker that stops answering has lost its power or its path, which is nothing that a task does.
+/// Guards against attributing an unresponsive worker, which lost power or network, to its task.
 #[test]
 fn verify_a_job_whose_workers_lose_power_is_not_given_up() {
     let mut fleet = Fleet::new(2);
@@ -281,14 +281,14 @@
         let starts = rig.start_all();
         assert_eq!(starts.len(), 1, "round {round}");
         rig.poll_fails(&starts[0].0);
-        rig.advance(AWAY_MS);
+        rig.advance(DOWN_MS);
         rig.poll_fails_with(&starts[0].0, PollFailure::WrongLife);
-        fleet.come_back(&mut rig, &starts[0].0);
+        fleet.restart(&mut rig, &starts[0].0);
     }
     assert_eq!(phase(&rig, CRASHER), Some(JobPhase::Running));
 }
 
-/// What begins just before a suspect, on the same worker, would be under the same suspicion.
+/// Guards against starting a suspect right after another task, which would become a suspect too.
 #[test]
 fn verify_a_task_that_may_crash_its_worker_begins_where_nothing_else_does() {
     let (_, mut rig, _) = after_a_crash(1, "patient");
@@ -297,10 +297,10 @@
     assert_eq!(starts.len(), 1);
     assert_eq!(starts[0].1.job_id.as_str(), "00000000000000e1");
     rig.advance(1_100);
-    assert_eq!(rig.start_all().len(), 1, "the suspect begins");
+    assert_eq!(rig.start_all().len(), 1, "the suspect starts");
 }
 
-/// What begins in the same pass as a suspect, on the same worker, would be under the same suspicion.
+/// Guards against starting another task in the placement pass that starts a suspect on the same worker.
 #[test]
 fn verify_nothing_begins_at_once_with_a_task_that_may_crash_its_worker() {
     let (_, mut rig, _) = after_a_crash(1, "urgent");
@@ -310,7 +310,7 @@
     assert_eq!(starts[0].1.job_id.as_str(), CRASHER);
 }
 
-/// A crash at the start of a task under which a worker has crashed before tells against that task alone.
+/// Guards against suspecting tasks that have run for long when a known suspect crashes at its start.
 #[test]
 fn verify_tasks_long_at_work_are_not_suspected_beside_a_repeated_crash() {
     let (mut fleet, mut rig, task) = after_a_crash(1, "middle");
@@ -318,14 +318,14 @@
     rig.submit("00000000000000e1", "urgent", step(1, 1));
     assert_eq!(rig.start_all().len(), 1);
     rig.advance(2_000);
-    let again = rig.start_all();
-    fleet.crash(&mut rig, &again[0].0);
-    let told = rig.losses();
-    assert_eq!(told[0].runs.len(), 2);
-    assert_eq!(told[0].suspects, vec![(task, 2)]);
+    let restarted = rig.start_all();
+    fleet.crash(&mut rig, &restarted[0].0);
+    let losses = rig.losses();
+    assert_eq!(losses[0].runs.len(), 2);
+    assert_eq!(losses[0].suspects, vec![(task, 2)]);
 }
 
-/// A start that each worker refuses for good would be sent again with each pass, to one after the other.
+/// Guards against a start that every worker refuses and that is sent again with each placement pass.
 #[test]
 fn verify_a_start_that_every_worker_refuses_is_repeated_ever_later() {
     let fleet = Fleet::new(4);
@@ -349,25 +349,25 @@
     assert!((1..=4).contains(&later), "{starts_by_second:?}");
 }
 
-/// Plays one term of a coordinator that finds these jobs, with every run's worker in another life already;
-/// gives what it stores of each job.
-fn finds_workers_lost(
+/// Runs one term of a coordinator that takes over these jobs after the workers of all their runs have
+/// restarted; returns the progress that it stores of each job.
+fn take_over_after_restarts(
     fleet: &mut Fleet,
     jobs: &[(Arc<JobRecord>, Option<JobProgress>)],
-    begins_ms: u64,
+    term_start_ms: u64,
 ) -> (Rig, Vec<Option<JobProgress>>) {
     let known = jobs.iter().map(|(record, progress)| RecoveredJob {
         record: Arc::clone(record),
         progress: progress.clone(),
         is_cancelled: false,
     });
-    let mut rig = Rig::take_over(begins_ms, known.collect(), &fleet.entries);
-    let held = jobs.iter().flat_map(|(_, progress)| progress);
-    let held = held.flat_map(|progress| &progress.tasks);
-    let lost: BTreeSet<WorkerName> = held.filter_map(|task| task.worker.clone()).collect();
+    let mut rig = Rig::take_over(term_start_ms, known.collect(), &fleet.entries);
+    let stored = jobs.iter().flat_map(|(_, progress)| progress);
+    let tasks = stored.flat_map(|progress| &progress.tasks);
+    let lost: BTreeSet<WorkerName> = tasks.filter_map(|task| task.worker.clone()).collect();
     for name in lost {
         rig.poll_fails_with(&name, PollFailure::WrongLife);
-        fleet.come_back(&mut rig, &name);
+        fleet.restart(&mut rig, &name);
     }
     rig.advance(1_200);
     let stored = rig.store_batches();
@@ -378,12 +378,12 @@
     };
     let progress = jobs
         .iter()
-        .map(|(record, before)| of_job(record).or_else(|| before.clone()))
+        .map(|(record, previous)| of_job(record).or_else(|| previous.clone()))
         .collect();
     (rig, progress)
 }
 
-/// Coordinators that die right after each start see nothing but another life where the run was.
+/// Guards against missing crashes if coordinators end right after each start and find only a restart.
 #[test]
 fn verify_a_crash_between_two_coordinators_counts() {
     let mut fleet = Fleet::new(6);
@@ -391,7 +391,7 @@
     let mut progress = None;
     for term in 1..=4 {
         let jobs = [(Arc::clone(&record), progress)];
-        let (rig, stored) = finds_workers_lost(&mut fleet, &jobs, term * 10_000);
+        let (rig, stored) = take_over_after_restarts(&mut fleet, &jobs, term * 10_000);
         progress = stored.into_iter().next().flatten();
         let expected = if term == 4 {
             JobPhase::Failed
@@ -402,7 +402,7 @@
     }
 }
 
-/// A rack that is out during each takeover tells nothing against the jobs on it.
+/// Guards against attributing a rack failure during each takeover to the jobs on that rack.
 #[test]
 fn verify_workers_lost_together_between_two_coordinators_count_for_nobody() {
     let mut fleet = Fleet::new(8);
@@ -412,7 +412,7 @@
     let records = ids.iter().map(|id| job(id, "urgent", vec![step(1, 8)]));
     let mut jobs: Vec<_> = records.map(|record| (record, None)).collect();
     for term in 1..=6 {
-        let (rig, stored) = finds_workers_lost(&mut fleet, &jobs, term * 10_000);
+        let (rig, stored) = take_over_after_restarts(&mut fleet, &jobs, term * 10_000);
         for ((_, progress), stored) in jobs.iter_mut().zip(stored) {
             *progress = stored;
         }
--- a/ragwortwick-area/tests/leaving.rs
+++ b/ragwortwick-area/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! What becomes of work on workers that are about to leave.
+//! Runs on workers that are about to leave.
 
 mod rig;
 
@@ -10,7 +10,7 @@
 
 type Run = (ragwortwick_core::WorkerName, ragwortwick_area::TaskId, u32);
 
-/// A gang on both workers that needs ten seconds has run for so long; then one of them tells that it leaves.
+/// A gang of ten seconds has run on two workers for `ran_ms` when one of them announces that it leaves.
 fn leave_after(step: StepSpec, ran_ms: u64) -> (Rig, Vec<Run>) {
     let mut rig = Rig::new(&[worker("w1", "r1"), worker("w2", "r1")]);
     rig.submit("00000000000000a0", "middle", step);
@@ -18,7 +18,7 @@
     assert_eq!(runs.len(), 2);
     for second in 1..=ran_ms / 1_000 {
         rig.advance(1_000);
-        let percent = u32::try_from(second * 10).expect("a share");
+        let percent = u32::try_from(second * 10).expect("a percentage");
         for name in ["w1", "w2"] {
             rig.report_progress(name, &runs, percent);
         }
@@ -33,7 +33,7 @@
     (rig, runs)
 }
 
-fn wide(saves_checkpoints: bool) -> StepSpec {
+fn two_worker_gang(saves_checkpoints: bool) -> StepSpec {
     StepSpec {
         estimate_ms: DurationMs(10_000),
         saves_checkpoints,
@@ -41,17 +41,17 @@
     }
 }
 
-/// Guards against a gang that is stopped although it ends before its worker leaves.
+/// Guards against a gang that is stopped although it would end before its worker leaves.
 #[test]
 fn verify_a_gang_that_ends_before_its_worker_leaves_goes_on() {
-    let (mut rig, _) = leave_after(wide(false), 7_000);
+    let (mut rig, _) = leave_after(two_worker_gang(false), 7_000);
     assert!(rig.stops().is_empty());
 }
 
-/// Guards against work that saves and is stopped earlier than it has to be.
+/// Guards against work with checkpoints that is stopped earlier than necessary.
 #[test]
 fn verify_a_gang_that_saves_goes_on_to_the_last_moment() {
-    let (mut rig, runs) = leave_after(wide(true), 2_000);
+    let (mut rig, runs) = leave_after(two_worker_gang(true), 2_000);
     assert!(rig.stops().is_empty());
     rig.advance(NOTICE_MS.0);
     assert!(rig.stops().len() >= runs.len());
--- a/ragwortwick-area/tests/losses.rs
+++ b/ragwortwick-area/tests/losses.rs
@@ -1,4 +1,4 @@
-//! What is told of a worker that is lost with runs.
+//! The reports of workers that are lost with runs.
 
 mod rig;
 
@@ -8,7 +8,7 @@
 use ragwortwick_core::{DurationMs, WorkerName};
 use rig::{Rig, running, step, worker};
 
-/// A log that calls every lost worker silent can't tell a task that crashes workers from a cut.
+/// Guards against a log that reports a crash, a network partition and a planned leave alike.
 #[test]
 fn verify_a_crash_is_told_from_a_cut_and_from_a_leave() {
     let workers = [worker("w1", "r1"), worker("w2", "r1"), worker("w3", "r1")];
@@ -18,7 +18,7 @@
     }
     let starts = rig.start_all();
     assert_eq!(starts.len(), 3);
-    let [crashed, cut, leaving] = [&starts[0].0, &starts[1].0, &starts[2].0];
+    let [crashed, partitioned, leaving] = [&starts[0].0, &starts[1].0, &starts[2].0];
     rig.advance(300);
     for start in &starts {
         rig.poll_reply(start.0.as_str(), vec![running(start)], vec![]);
@@ -27,7 +27,7 @@
     rig.send(Event::WorkerUpdated(WorkerEntry {
         is_draining: true,
         remaining_ms: Some(DurationMs(30_000)),
-        ..entry.expect("it is one of them").clone()
+        ..entry.expect("one of the three workers").clone()
     }));
     rig.poll_fails_with(crashed, PollFailure::Closed);
     rig.poll_fails_with(leaving, PollFailure::Closed);
@@ -35,25 +35,25 @@
     rig.poll_fails_with(crashed, PollFailure::WrongLife);
     rig.poll_fails_with(leaving, PollFailure::WrongLife);
     for _ in 0..20 {
-        rig.poll_fails(cut);
+        rig.poll_fails(partitioned);
         rig.advance(1_000);
     }
-    let told = rig.losses();
-    let loss_of = |name: &WorkerName| told.iter().find(|lost| lost.worker == *name);
-    let crash = loss_of(crashed).expect("the crash is told");
+    let losses = rig.losses();
+    let loss_of = |name: &WorkerName| losses.iter().find(|lost| lost.worker == *name);
+    let crash = loss_of(crashed).expect("the crash is reported");
     assert_eq!(crash.cause, WorkerLossCause::Crashed);
-    let kind_of = |lost: &WorkerLossReport| lost.contact_loss.map(|silence| silence.kind);
+    let kind_of = |lost: &WorkerLossReport| lost.contact_loss.map(|contact_loss| contact_loss.kind);
     assert_eq!(kind_of(crash), Some(ContactLossKind::Closed));
     assert_eq!(
         crash.runs,
         vec![(starts[0].1.clone(), Some(DurationMs(300)))]
     );
-    assert_eq!(crash.lost_together, 1, "the leaving one");
+    assert_eq!(crash.lost_together, 1, "the leaving worker");
     assert_eq!(
         loss_of(leaving).map(|lost| lost.cause),
         Some(WorkerLossCause::Left)
     );
-    let gone = loss_of(cut).expect("the cut is told");
-    assert_eq!(gone.cause, WorkerLossCause::OutOfReach);
-    assert_eq!(kind_of(gone), Some(ContactLossKind::Unanswered));
+    let unreachable = loss_of(partitioned).expect("the partition is reported");
+    assert_eq!(unreachable.cause, WorkerLossCause::OutOfReach);
+    assert_eq!(kind_of(unreachable), Some(ContactLossKind::Unanswered));
 }
--- a/ragwortwick-area/tests/records.rs
+++ b/ragwortwick-area/tests/records.rs
@@ -1,4 +1,4 @@
-//! What is stored while the store takes its time, and what waits for it.
+//! Batches of records under a slow store, and the starts and acknowledgements that wait for them.
 
 mod rig;
 
@@ -15,7 +15,7 @@
     records.map(|record| &record.job_id).collect()
 }
 
-/// Guards against starts that wait for one answer of a slow store after the other, fifteen jobs at a time.
+/// Guards against starts that wait for a slow store to reply to one batch of fifteen jobs after the other.
 #[test]
 fn verify_a_slow_store_holds_up_no_record_of_other_jobs() {
     const JOBS: u64 = 60;
@@ -25,13 +25,16 @@
         rig.submit(&format!("{number:016x}"), "middle", step(1, 1));
     }
     rig.advance(200);
-    let waiting = rig.batches();
-    let jobs = jobs_of(&waiting);
+    let batches = rig.batches();
+    let jobs = jobs_of(&batches);
     let distinct: BTreeSet<_> = jobs.iter().collect();
     assert_eq!(distinct.len() as u64, JOBS);
     assert_eq!(jobs.len(), distinct.len(), "a job is in two batches");
-    assert!(rig.starts().is_empty(), "a start went before its record");
-    for (batch, _) in waiting.iter().rev() {
+    assert!(
+        rig.starts().is_empty(),
+        "a start was sent before its record was stored"
+    );
+    for (batch, _) in batches.iter().rev() {
         rig.send(Event::BatchStored { batch: *batch });
     }
     assert_eq!(rig.starts().len() as u64, JOBS);
@@ -48,13 +51,16 @@
     assert_eq!(jobs_of(&first), [&JobId::new(id)]);
     rig.send(Event::JobCancelled(JobId::new(id)));
     rig.advance(200);
-    assert!(rig.batches().is_empty(), "the second record overtakes");
+    assert!(
+        rig.batches().is_empty(),
+        "the second record overtakes the first"
+    );
     rig.send(Event::BatchStored { batch: first[0].0 });
     rig.advance(20);
     assert_eq!(jobs_of(&rig.batches()), [&JobId::new(id)]);
 }
 
-/// Guards against an end that its worker forgets while an earlier batch, which may hold its effect, is open.
+/// Guards against acknowledging a run end while an earlier batch, which may hold its effect, is in flight.
 #[test]
 fn verify_an_end_is_forgotten_only_after_all_earlier_batches() {
     let workers = [worker("w1", "r1"), worker("w2", "r1")];
@@ -64,31 +70,35 @@
     let starts = rig.start_all();
     assert_eq!(starts.len(), 2);
     let end = |start| ended(1, start, EndKind::Done);
-    let mut open = Vec::new();
+    let mut in_flight = Vec::new();
     for start in &starts {
         rig.poll_reply(start.0.as_str(), Vec::new(), vec![end(start)]);
         rig.advance(30);
-        open.extend(rig.batches());
+        in_flight.extend(rig.batches());
     }
-    assert_eq!(open.len(), 2);
-    let noted = |rig: &mut Rig| -> u64 {
+    assert_eq!(in_flight.len(), 2);
+    let acked_end = |rig: &mut Rig| -> u64 {
         rig.advance(1_500);
-        let looks = rig.take(|action| match action {
+        let polls = rig.take(|action| match action {
             Action::Poll { acked_end, .. } => Some(*acked_end),
             _ => None,
         });
-        looks.into_iter().max().unwrap_or(0)
+        polls.into_iter().max().unwrap_or(0)
     };
-    rig.send(Event::BatchStored { batch: open[1].0 });
-    assert_eq!(noted(&mut rig), 0);
-    rig.send(Event::BatchStored { batch: open[0].0 });
-    assert_eq!(noted(&mut rig), 1);
+    rig.send(Event::BatchStored {
+        batch: in_flight[1].0,
+    });
+    assert_eq!(acked_end(&mut rig), 0);
+    rig.send(Event::BatchStored {
+        batch: in_flight[0].0,
+    });
+    assert_eq!(acked_end(&mut rig), 1);
 }
 
-/// Guards against a job that waits for its record as long as jobs with lower ids keep changing.
+/// Guards against a job whose record is never stored while jobs with lower ids keep changing.
 #[test]
 fn verify_the_job_that_changed_first_is_stored_first() {
-    // Eight batches; a record with a new phase is three entries, so ten go into one.
+    // Eight batches; a record with a new phase takes three entries, so ten of them fit into one.
     const FULL: u64 = 8 * 10;
     let workers: Vec<_> = (0..64).map(|n| worker(&format!("w{n}"), "r1")).collect();
     let mut rig = Rig::new(&workers);
@@ -105,7 +115,7 @@
         rig.submit(&format!("0000000000000{number:03x}"), "middle", step(1, 1));
     }
     rig.advance(20);
-    assert!(rig.batches().is_empty(), "too many batches at a time");
+    assert!(rig.batches().is_empty(), "too many batches in flight");
     rig.send(Event::BatchStored { batch: first[0].0 });
     rig.advance(20);
     let next = rig.batches();
--- a/ragwortwick-area/tests/stalls.rs
+++ b/ragwortwick-area/tests/stalls.rs
@@ -1,4 +1,4 @@
-//! Runs that stand still on workers that count as healthy.
+//! Stalled runs on workers that count as healthy.
 
 mod rig;
 
@@ -6,18 +6,18 @@
 use ragwortwick_core::DurationMs;
 use rig::{Rig, gang, step, worker};
 
-/// An urgent task stands still from its start. Its worker answers looks as ever. Within a second it is
-/// stopped and starts on the other worker, which its caller still gets in time; new work stays away from
-/// the first worker, and comes back to it later.
+/// Guards against an urgent task that stalls from its start on a worker that still replies to polls.
+/// Within a second it is stopped and restarted on the other worker, in time for its objective. New work
+/// avoids the first worker for a while and is placed there again later.
 #[test]
 fn verify_run_that_stands_still_starts_elsewhere() {
     let mut rig = Rig::new(&[worker("w1", "r1"), worker("w2", "r1")]);
     rig.submit_as("00000000000000f0", "c", "urgent", step(1, 1));
     let starts = rig.start_all();
-    let hung = starts[0].0.clone();
+    let stalled = starts[0].0.clone();
     for _ in 0..2 {
         rig.advance(400);
-        rig.report_progress(hung.as_str(), &starts, 0);
+        rig.report_progress(stalled.as_str(), &starts, 0);
     }
     rig.advance(20);
     let stops = rig.stops();
@@ -25,17 +25,21 @@
     rig.submit("00000000000000f1", "patient", step(4, 1));
     let others = rig.start_all();
     assert!(
-        others.iter().all(|start| start.0 != hung),
-        "work stays away"
+        others.iter().all(|start| start.0 != stalled),
+        "work avoids the worker"
     );
     rig.advance(3_000);
     rig.submit("00000000000000f2", "patient", step(8, 1));
     let later = rig.start_all();
-    assert!(later.iter().any(|start| start.0 == hung), "and comes back");
+    assert!(
+        later.iter().any(|start| start.0 == stalled),
+        "and is placed there again"
+    );
 }
 
-/// A run that is nearly done stands still. Started again it would lose all its work, so it is given as
-/// much time as that took; one that moves on in the meantime keeps its work.
+/// Guards against restarting too early a stalled run that is nearly done and would lose all its work.
+/// It is stopped only once it has been stalled for as long as that work took, and keeps its work if it
+/// advances before.
 #[test]
 fn verify_run_with_much_to_lose_is_given_time() {
     let mut rig = Rig::new(&[worker("w1", "r1"), worker("w2", "r1")]);
@@ -56,8 +60,8 @@
     assert_eq!(rig.stops(), starts);
 }
 
-/// The start of one member of a gang has no answer yet, so the others wait for it at their beginning.
-/// They don't stand still: stopped now, the gang would only begin later.
+/// Guards against stopping a gang whose members wait for the start of one that has no reply yet.
+/// Such a gang is not stalled; a stop would only delay its start further.
 #[test]
 fn verify_gang_that_waits_for_a_start_is_left_alone() {
     let mut rig = Rig::new(&[worker("w1", "r1"), worker("w2", "r1"), worker("w3", "r1")]);
@@ -74,33 +78,29 @@
     assert_eq!(rig.stops(), vec![]);
 }
 
-/// One member of a gang stands still at its beginning while the other has nearly done its part. Starting
-/// again would throw away the other's work, so the gang is given as long as that took.
+/// Guards against restarting too early a gang with one stalled member whose other member is nearly done.
+/// A restart loses the work of the other member, so the gang gets as long as that work took.
 #[test]
 fn verify_gang_is_given_as_long_as_its_furthest_member_took() {
     let mut rig = Rig::new(&[worker("w1", "r1"), worker("w2", "r1"), worker("w3", "r1")]);
     rig.submit("00000000000000f7", "patient", gang(2, 8));
     let starts = rig.start_all();
-    let tell = |rig: &mut Rig, percent| {
+    let report = |rig: &mut Rig, percent| {
         rig.advance(500);
         rig.report_progress(starts[1].0.as_str(), &starts, percent);
         rig.report_progress(starts[0].0.as_str(), &starts, 0);
     };
     for percent in [25, 50, 75] {
-        tell(&mut rig, percent);
+        report(&mut rig, percent);
     }
-    assert_eq!(
-        rig.stops(),
-        vec![],
-        "1.5 s of work against 1.5 s of standing still"
-    );
+    assert_eq!(rig.stops(), vec![], "1.5 s of work against 1.5 s of stall");
     for _ in 0..2 {
-        tell(&mut rig, 75);
+        report(&mut rig, 75);
     }
     assert_eq!(rig.stops().len(), 2);
 }
 
-/// A member of a gang that has done its part waits for the others at 100 per cent.
+/// Guards against taking a gang member that is done and waits for the others at 100 per cent as stalled.
 #[test]
 fn verify_member_that_waits_for_slower_ones_is_left_alone() {
     let mut rig = Rig::new(&[worker("w1", "r1"), worker("w2", "r1"), worker("w3", "r1")]);
@@ -114,8 +114,8 @@
     assert_eq!(rig.stops(), vec![]);
 }
 
-/// A customer says two seconds of a task that takes minutes. It seems to stand still on every worker.
-/// It is moved twice at most; moved for ever, it would never come to its end.
+/// Guards against endless restarts of a task of minutes that its customer estimates at two seconds.
+/// It seems stalled on every worker, so it is restarted at most twice.
 #[test]
 fn verify_task_with_a_wrong_estimate_is_not_moved_for_ever() {
     let names = ["w1", "w2", "w3", "w4"].map(|name| worker(name, "r1"));
@@ -125,7 +125,7 @@
         ..step(1, 1)
     };
     rig.submit("00000000000000f6", "middle", long);
-    let mut moves = 0;
+    let mut restarts = 0;
     for _ in 0..6 {
         let starts = rig.start_all();
         let Some(start) = starts.first() else {
@@ -136,11 +136,11 @@
             rig.report_progress(start.0.as_str(), &starts, 0);
         }
         let stops = rig.stops();
-        moves += stops.len();
+        restarts += stops.len();
         for stop in &stops {
             let end = rig::ended(1, stop, ragwortwick_area::EndKind::Stopped);
             rig.poll_reply(stop.0.as_str(), Vec::new(), vec![end]);
         }
     }
-    assert_eq!(moves, 2);
+    assert_eq!(restarts, 2);
 }
