--- a/ragwortwick-area/src/advice.rs
+++ b/ragwortwick-area/src/advice.rs
@@ -15,13 +15,13 @@
 use crate::messages::{Action, AdviceReply};
 use crate::packing::{Slot, rack_ranges};
 
-/// Most workers in one request; the latency objective allows for one request about this many per step.
+/// Maximum number of workers per request; the latency objective allows for one request of this size per step.
 const MAX_WORKERS_PER_REQUEST: usize = 30;
 
 /// Pause after a failed request; the advisor rejects requests when too many are queued.
 const RETRY_PAUSE_MS: DurationMs = DurationMs(300);
 
-/// Least remaining validity of a ticket at placement: the record of the start is stored first, and an order
+/// Minimum remaining validity of a ticket at placement: the record of the start is stored first, and an order
 /// waits up to 300 ms for those before it.
 const TICKET_MARGIN_MS: DurationMs = DurationMs(600);
 
--- a/ragwortwick-area/src/colocation.rs
+++ b/ragwortwick-area/src/colocation.rs
@@ -32,11 +32,11 @@
 /// Amount by which the pace is raised.
 const RAISE_STEP_PERCENT: u32 = 5;
 
-/// Least time from the last change to a reduction: the reported latency covers the last half second, and a
-/// pace takes effect after 0.1 s.
+/// Minimum time between the last change and a reduction: the reported latency covers the last half second,
+/// and a pace takes effect after 0.1 s.
 const LOWER_PAUSE_MS: DurationMs = DurationMs(700);
 
-/// Least time from the last change to a raise; the interference changes within seconds.
+/// Minimum time between the last change and a raise; the interference changes within seconds.
 const RAISE_PAUSE_MS: DurationMs = DurationMs(1_000);
 
 /// `ColocationRole` is how a run shares its worker with other runs.
--- a/ragwortwick-area/src/preemption.rs
+++ b/ragwortwick-area/src/preemption.rs
@@ -322,7 +322,7 @@
         .collect()
 }
 
-/// Reserves the slots against later steps, both now and after the victims have stopped.
+/// Allocates the resources on the given slots, now and after the stops, so that later steps can't use them.
 fn reserve(
     after_stops: &mut [Slot],
     capacity: &mut PoolCapacity,
--- a/ragwortwick-area/src/reservation.rs
+++ b/ragwortwick-area/src/reservation.rs
@@ -120,7 +120,7 @@
             && reservations.release(slots, spec, &PlacementConstraints::default())
     }
 
-    /// Reserves the capacity that a waiting gang can get first against later steps.
+    /// Reserves the capacity that is free first for a waiting gang, so that later steps can't use it.
     pub(crate) fn reserve_for_gang(
         &self,
         now: TimeMs,
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Returns the runs on each slot, the one that ends first at the front.
+    /// Forecasts the runs on each slot, ordered by their expected end.
     fn forecasts(&self, now: TimeMs, slots: &[Slot]) -> Vec<Forecast> {
         let of_slot = |slot: &Slot| {
             let worker = self.workers.get(&slot.worker);
@@ -208,7 +208,7 @@
     }
 }
 
-/// Returns the capacity that is free first for all members of a gang.
+/// Returns the reservation with the earliest time at which all members of a gang fit.
 fn earliest_reservation(
     slots: &[Slot],
     forecasts: &[Forecast],
--- a/ragwortwick-area/tests/advice.rs
+++ b/ragwortwick-area/tests/advice.rs
@@ -147,7 +147,7 @@
     assert_eq!(tickets(&mut rig).len(), 1);
 }
 
-/// Guards against a job that waits forever after a failed advice request: it is retried after a pause.
+/// A failed advice request (429 or no reply) must be retried after a pause, or the job never starts.
 #[test]
 fn verify_question_without_an_answer_is_asked_again() {
     let mut rig = rig();
--- a/ragwortwick-area/tests/capacity.rs
+++ b/ragwortwick-area/tests/capacity.rs
@@ -30,7 +30,7 @@
     assert_eq!(rig.start_all().len(), 1, "the task fits again");
 }
 
-/// Guards against a start without a reply that is sent again to a worker whose capacity has shrunk.
+/// Guards against an unanswered start, which may not have arrived, that is repeated on a worker that shrank.
 #[test]
 fn verify_an_unanswered_start_is_not_repeated_on_a_worker_that_has_shrunk() {
     let mut rig = Rig::new(&[worker("w1", "r1")]);
--- a/ragwortwick-http/src/json.rs
+++ b/ragwortwick-http/src/json.rs
@@ -82,7 +82,8 @@
 /// Fails with 413 for a body that is too large, 408 for one that is incomplete at the timeout, and 400 for
 /// one that is cut off.
 pub async fn read_bytes(state: &mut State, max_bytes: usize) -> Result<Bytes, RequestError> {
-    let timeout_ms = BodyTimeout::try_borrow_from(state).map_or(BODY_TIMEOUT_MS, |limit| limit.0);
+    let timeout_ms =
+        BodyTimeout::try_borrow_from(state).map_or(BODY_TIMEOUT_MS, |timeout| timeout.0);
     let body = Body::take_from(state);
     let body = Limited::new(body, max_bytes).collect();
     // A client that never completes its body would keep the received part and its connection allocated
@@ -110,8 +111,8 @@
 }
 
 fn parse<T: DeserializeOwned>(bytes: &Bytes) -> Result<T, RequestError> {
-    let mut reader = serde_json::Deserializer::from_slice(bytes);
-    let value = serde_path_to_error::deserialize(&mut reader).map_err(|error| {
+    let mut deserializer = serde_json::Deserializer::from_slice(bytes);
+    let value = serde_path_to_error::deserialize(&mut deserializer).map_err(|error| {
         let path = error.path().to_string();
         // `.` is the path of the root value, `?` that of a position without a known path.
         let has_no_field = matches!(path.as_str(), "." | "?");
@@ -126,7 +127,7 @@
             error.into_inner().to_string(),
         )
     })?;
-    reader
+    deserializer
         .end()
         .map_err(|e| RequestError::new(StatusCode::BAD_REQUEST, "body", e.to_string()))?;
     Ok(value)
--- a/ragwortwick-http/src/server.rs
+++ b/ragwortwick-http/src/server.rs
@@ -35,7 +35,7 @@
     pub header_timeout_ms: DurationMs,
     /// Longest time until a request body is complete.
     pub body_timeout_ms: DurationMs,
-    /// Longest time without a byte of the response accepted by the client.
+    /// Longest time during which a client reads no byte of its response.
     pub write_timeout_ms: DurationMs,
 }
 
--- a/ragwortwick-http/tests/http_bounds.rs
+++ b/ragwortwick-http/tests/http_bounds.rs
@@ -89,7 +89,7 @@
     let error = client
         .post::<_, Shape>(&address, "/echo", &1, TIMEOUT_MS)
         .await
-        .expect_err("nobody listens");
+        .expect_err("no process listens");
     assert!(!error.may_have_arrived(), "{error}");
     assert!(error.is_closed(), "{error}");
 }
@@ -155,7 +155,7 @@
 #[tokio::test]
 async fn verify_answer_that_falls_silent_is_no_answer() {
     // Guards against a client with a long total timeout that spends all of it on a connection that stalls
-    // in the middle of a response: it has to fail after the idle timeout, so that it can retry.
+    // in the middle of a response: it has to fail after the idle timeout, to retry on another connection.
     let (address, peer) =
         respond_and_stall(b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\n0123456789").await;
     let client = HttpClient::new(&HttpClientOptions::default());
