--- a/ragwortwick-emulator/src/advisor.rs
+++ b/ragwortwick-emulator/src/advisor.rs
@@ -23,7 +23,7 @@
 
 impl Simulation {
     /// What the coordinator hears of a question once the answer has taken its time.
-    pub(crate) fn advise(
+    pub(crate) fn request_advice(
         &mut self,
         step: StepId,
         asked: Vec<WorkerName>,
@@ -50,7 +50,7 @@
     }
 
     /// Whether a start carries the ticket that it needs, if it needs one.
-    pub(crate) fn holds_ticket(
+    pub(crate) fn has_valid_ticket(
         &mut self,
         index: usize,
         task: &TaskId,
--- a/ragwortwick-emulator/src/arrivals.rs
+++ b/ragwortwick-emulator/src/arrivals.rs
@@ -1,4 +1,4 @@
-//! Jobs that callers hand in, drawn by seed in the shape of an installation's load.
+//! Jobs that callers hand in, drawn by seed in the shape of an installation's workload.
 
 use std::sync::Arc;
 
@@ -28,14 +28,14 @@
     /// True duration of a task at normal speed, by step.
     pub(crate) work_ms: Vec<DurationMs>,
     /// Share of runs that fail.
-    pub(crate) failing: f64,
+    pub(crate) failure_probability: f64,
     /// The task that crashes its workers, if one does.
-    pub(crate) crasher: Option<Crasher>,
+    pub(crate) crashing_task: Option<CrashingTask>,
 }
 
-/// `Crasher` is a task that crashes each worker that starts it.
+/// `CrashingTask` is a task that crashes each worker that starts it.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Crasher {
+pub(crate) struct CrashingTask {
     /// Its number in the first step.
     pub(crate) index: u32,
     /// Time from a start to the crash.
@@ -51,34 +51,40 @@
 impl Arrivals {
     /// `draw` makes the jobs of one run.
     #[must_use]
-    pub fn draw(seed: u64, load: &Workload, racks: u32) -> Self {
+    pub fn draw(seed: u64, workload: &Workload, racks: u32) -> Self {
         let mut rng = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
         let mut jobs = Vec::new();
-        for queue in &load.queues {
+        for queue in &workload.queues {
             let mut at = 0.0;
             loop {
                 let gap: f64 = rng.random_range(0.0..2.0);
-                let per_s = queue.per_s * load.factor_at(&queue.name, at);
+                let per_s = queue.per_s * workload.factor_at(&queue.name, at);
                 at += gap * 1_000.0 / per_s.max(0.001);
-                if at >= as_float(load.for_ms.0) {
+                if at >= as_float(workload.for_ms.0) {
                     break;
                 }
-                jobs.push(arrival(&mut rng, queue, TimeMs(whole(at)), load, racks));
+                jobs.push(draw_job(
+                    &mut rng,
+                    queue,
+                    TimeMs(truncate(at)),
+                    workload,
+                    racks,
+                ));
             }
         }
         jobs.sort_by_key(|job| (job.at, job.record.job_id.clone()));
-        draw_crashers(seed, load.crashing, &mut jobs);
+        draw_crashing_tasks(seed, workload.crashing, &mut jobs);
         Self { jobs }
     }
 }
 
 /// Chooses the tasks that crash their workers, by numbers of their own: the jobs stay as they are.
-fn draw_crashers(seed: u64, share: f64, jobs: &mut [Arrival]) {
+fn draw_crashing_tasks(seed: u64, share: f64, jobs: &mut [Arrival]) {
     let mut rng = Pcg64Mcg::new(u128::from(seed) << 16 | 0xc4);
     for job in jobs {
         let is_crashing = rng.random_bool(share);
         let tasks = job.record.steps.first().map_or(0, |step| step.count);
-        job.crasher = (is_crashing && tasks > 0).then(|| Crasher {
+        job.crashing_task = (is_crashing && tasks > 0).then(|| CrashingTask {
             index: rng.random_range(0..tasks),
             after_ms: if rng.random_bool(0.25) {
                 rng.random_range(10..2_000)
@@ -89,11 +95,11 @@
     }
 }
 
-fn arrival(
+fn draw_job(
     rng: &mut Pcg64Mcg,
     queue: &QueueWorkload,
     at: TimeMs,
-    load: &Workload,
+    workload: &Workload,
     racks: u32,
 ) -> Arrival {
     let job_id = JobId::new(format!("{:016x}", rng.random::<u64>()));
@@ -103,7 +109,7 @@
     for number in 0..step_count {
         let true_ms = queue.work_ms * rng.random_range(0.5..1.6);
         let estimate_ms = true_ms * estimate_factor(rng, queue);
-        work_ms.push(DurationMs(whole(true_ms)));
+        work_ms.push(DurationMs(truncate(true_ms)));
         let accelerators = queue.accelerators[rng.random_range(0..queue.accelerators.len())];
         let width = width(rng, queue);
         let is_gang = rng.random_bool(queue.gang);
@@ -115,7 +121,7 @@
                 memory_mb: queue.need.memory_mb,
                 accelerators,
             },
-            estimate_ms: DurationMs(whole(estimate_ms)),
+            estimate_ms: DurationMs(truncate(estimate_ms)),
             after: if number > 0 { vec![0] } else { Vec::new() },
             is_gang,
             wants_same_rack: is_gang
@@ -138,16 +144,16 @@
         occurrences: rng.random_range(1..4),
     });
     let cancel_at = rng
-        .random_bool(load.cancelled)
+        .random_bool(workload.cancelled)
         .then(|| at + DurationMs(rng.random_range(1..6_000)));
-    let customer = customer_name(rng.random_range(0..load.guaranteed_shares.len()));
+    let customer = customer_name(rng.random_range(0..workload.guaranteed_shares.len()));
     let payload = format!("payload of {job_id}");
     Arrival {
         at,
         record: Arc::new(JobRecord {
             job_id,
             queue: ClassName::new(&queue.name),
-            policy: terms(queue),
+            policy: queue_policy(queue),
             customer,
             payload: Arc::from(payload),
             steps,
@@ -156,16 +162,16 @@
         }),
         cancel_at,
         work_ms,
-        failing: if rng.random_bool(0.03) {
+        failure_probability: if rng.random_bool(0.03) {
             1.0
         } else {
-            load.failing
+            workload.failing
         },
-        crasher: None,
+        crashing_task: None,
     }
 }
 
-fn terms(queue: &QueueWorkload) -> QueuePolicy {
+fn queue_policy(queue: &QueueWorkload) -> QueuePolicy {
     let advice = AdvisorTiming {
         answer_ms: DurationMs(40),
         per_worker_ms: DurationMs(3),
@@ -182,22 +188,22 @@
 }
 
 /// The operators' desired state of every run.
-pub(crate) fn desired(load: &Workload, accelerators: u64) -> DesiredState {
-    let queues = load.queues.iter().map(|queue| {
+pub(crate) fn desired_state(workload: &Workload, accelerators: u64) -> DesiredState {
+    let queues = workload.queues.iter().map(|queue| {
         let name = &queue.name;
         let known = Queue {
             host: "jobs.example".into(),
             path_prefix: format!("/{name}/").into(),
-            policy: terms(queue),
+            policy: queue_policy(queue),
             is_public: false,
         };
         (ClassName::new(name), known)
     });
-    let shares = load.guaranteed_shares.iter().enumerate();
+    let shares = workload.guaranteed_shares.iter().enumerate();
     let customers = shares.map(|(number, share)| {
         let customer = Customer {
             api_keys: Vec::new(),
-            guaranteed_accelerators: whole(as_float(accelerators) * share),
+            guaranteed_accelerators: truncate(as_float(accelerators) * share),
         };
         (customer_name(number), customer)
     });
@@ -236,7 +242,7 @@
     } else {
         rng.random_range(0.2..1.9)
     };
-    let tasks = whole(queue.width * factor).max(1);
+    let tasks = truncate(queue.width * factor).max(1);
     u32::try_from(tasks).unwrap_or(1).min(queue.widest)
 }
 
@@ -250,6 +256,6 @@
     clippy::cast_sign_loss,
     reason = "numbers here are small and positive"
 )]
-pub(crate) fn whole(number: f64) -> u64 {
+pub(crate) fn truncate(number: f64) -> u64 {
     number.max(0.0) as u64
 }
--- a/ragwortwick-emulator/src/coordination.rs
+++ b/ragwortwick-emulator/src/coordination.rs
@@ -4,15 +4,15 @@
 use ragwortwick_core::{DurationMs, JobId};
 use rand::Rng;
 
-use crate::simulation::{Happening, Simulation};
+use crate::simulation::{SimEvent, Simulation};
 
 impl Simulation {
-    pub(crate) fn hear(&mut self, host: usize, term: u64, event: Event) {
+    pub(crate) fn deliver_event(&mut self, host: usize, term: u64, event: Event) {
         if let Some(until) = self.hosts[host].frozen_until
             && self.now < until
         {
             // What arrives at a frozen process is read when it wakes.
-            self.at(until, Happening::Hear { host, term, event });
+            self.schedule_at(until, SimEvent::DeliverEvent { host, term, event });
             return;
         }
         let now = self.clock();
@@ -23,21 +23,21 @@
             return;
         }
         let actions = state.coordinator.on_event(now, event);
-        self.act(host, term, actions);
+        self.perform_actions(host, term, actions);
     }
 
-    pub(crate) fn wake(&mut self, host: usize, term: u64) {
+    pub(crate) fn wake_coordinator(&mut self, host: usize, term: u64) {
         if let Some(until) = self.hosts[host].frozen_until
             && self.now < until
         {
-            self.hosts[host].wakes_at = Some(until);
-            self.at(until, Happening::Wakeup(host, term));
+            self.hosts[host].wakeup_at = Some(until);
+            self.schedule_at(until, SimEvent::WakeCoordinator(host, term));
             return;
         }
-        if self.hosts[host].wakes_at != Some(self.now) {
+        if self.hosts[host].wakeup_at != Some(self.now) {
             return;
         }
-        self.hosts[host].wakes_at = None;
+        self.hosts[host].wakeup_at = None;
         let now = self.clock();
         let Some(state) = &mut self.hosts[host].term else {
             return;
@@ -46,20 +46,20 @@
             return;
         }
         let actions = state.coordinator.on_wakeup(now);
-        self.act(host, term, actions);
+        self.perform_actions(host, term, actions);
     }
 
-    pub(crate) fn act(&mut self, host: usize, term: u64, actions: Vec<Action>) {
+    pub(crate) fn perform_actions(&mut self, host: usize, term: u64, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Store { batch, records } => {
-                    let commit = Happening::Commit {
+                    let commit = SimEvent::CommitBatch {
                         host,
                         term,
                         batch,
                         records,
                     };
-                    self.after(5, commit);
+                    self.schedule_after(5, commit);
                 }
                 Action::LogRunEnd(_) | Action::LogWorkerLoss(_) => {}
                 Action::Resign => self.hosts[host].term = None,
@@ -71,10 +71,13 @@
                     workers,
                     answer_ms,
                 } => {
-                    let event = self.advise(step, workers, answer_ms);
-                    self.after(answer_ms.0 + 2, Happening::Hear { host, term, event });
+                    let event = self.request_advice(step, workers, answer_ms);
+                    self.schedule_after(
+                        answer_ms.0 + 2,
+                        SimEvent::DeliverEvent { host, term, event },
+                    );
                 }
-                order => self.send(host, term, order),
+                order => self.send_order(host, term, order),
             }
         }
         let now = self.clock();
@@ -85,15 +88,15 @@
             return;
         };
         let at = at.max(self.now + DurationMs(1));
-        let planned = self.hosts[host].wakes_at;
+        let planned = self.hosts[host].wakeup_at;
         // One planned wakeup is enough; others would multiply with every event.
         if planned.is_none_or(|planned| at < planned || planned <= self.now) {
-            self.hosts[host].wakes_at = Some(at);
-            self.at(at, Happening::Wakeup(host, term));
+            self.hosts[host].wakeup_at = Some(at);
+            self.schedule_at(at, SimEvent::WakeCoordinator(host, term));
         }
     }
 
-    pub(crate) fn commit(
+    pub(crate) fn commit_batch(
         &mut self,
         host: usize,
         term: u64,
@@ -107,14 +110,14 @@
         if !is_term {
             return;
         }
-        if self.store.is_away || !self.hosts[host].reaches_store() {
-            let commit = Happening::Commit {
+        if self.store.is_unavailable || !self.hosts[host].reaches_store() {
+            let commit = SimEvent::CommitBatch {
                 host,
                 term,
                 batch,
                 records,
             };
-            self.after(100, commit);
+            self.schedule_after(100, commit);
             return;
         }
         if self.store.holder(self.now) != Some(term) {
@@ -122,15 +125,15 @@
             return;
         }
         for record in &records {
-            self.keep(&record.job_id, &record.progress);
+            self.store_progress(&record.job_id, &record.progress);
         }
-        let is_lost = self.store.loses_answers && self.rng.random_bool(0.5);
+        let is_lost = self.store.loses_replies && self.rng.random_bool(0.5);
         let delay_ms = if is_lost { 120 } else { 2 };
         let event = Event::BatchStored { batch };
-        self.after(delay_ms, Happening::Hear { host, term, event });
+        self.schedule_after(delay_ms, SimEvent::DeliverEvent { host, term, event });
     }
 
-    pub(crate) fn keep(&mut self, job_id: &JobId, progress: &JobProgress) {
+    pub(crate) fn store_progress(&mut self, job_id: &JobId, progress: &JobProgress) {
         let is_all_done = self.is_all_done(job_id);
         let Some(job) = self.store.jobs.get_mut(job_id) else {
             return;
@@ -140,11 +143,12 @@
         if before == Some(progress.phase) {
             return;
         }
-        self.truth
-            .shown(self.now, job_id, progress.phase, is_all_done);
+        self.ground_truth
+            .check_phase(self.now, job_id, progress.phase, is_all_done);
         if progress.phase == JobPhase::Failed {
             let attempts = self.arrivals[self.by_job[job_id]].record.policy.attempts;
-            self.truth.shown_failed(self.now, job_id, attempts);
+            self.ground_truth
+                .check_failed_phase(self.now, job_id, attempts);
         }
         if progress.phase == JobPhase::Completed {
             self.completed_at.insert(job_id.clone(), self.now);
@@ -162,9 +166,9 @@
                     index,
                 };
                 if spec.is_gang {
-                    (0..spec.count).any(|index| self.truth.done.contains(&task(index)))
+                    (0..spec.count).any(|index| self.ground_truth.done.contains(&task(index)))
                 } else {
-                    (0..spec.count).all(|index| self.truth.done.contains(&task(index)))
+                    (0..spec.count).all(|index| self.ground_truth.done.contains(&task(index)))
                 }
             })
         })
--- a/ragwortwick-emulator/src/fault_injection.rs
+++ b/ragwortwick-emulator/src/fault_injection.rs
@@ -5,7 +5,7 @@
 use crate::faults::FaultKind;
 use crate::host::Host;
 use crate::simulation::Simulation;
-use crate::worker::Presence;
+use crate::worker::Reachability;
 
 impl Simulation {
     pub(crate) fn set_fault(&mut self, index: usize, is_on: bool) {
@@ -35,35 +35,35 @@
                 self.hosts[leader].frozen_until = Some(until);
             }
             FaultKind::CoordinatorCutFromStore if is_on => {
-                self.hosts[leader].is_cut_from_store = true;
+                self.hosts[leader].is_partitioned_from_store = true;
             }
             FaultKind::CoordinatorCutFromWorkers if is_on => {
                 let names = third.iter().map(|&at| self.workers[at].name.clone());
-                self.hosts[leader].cut_workers = names.collect();
+                self.hosts[leader].unreachable_workers = names.collect();
             }
-            FaultKind::RepliesDropped if is_on => self.hosts[leader].loses_answers = true,
+            FaultKind::RepliesDropped if is_on => self.hosts[leader].loses_replies = true,
             FaultKind::CoordinatorCutFromStore
             | FaultKind::CoordinatorCutFromWorkers
             | FaultKind::RepliesDropped => {
                 for host in &mut self.hosts {
-                    host.is_cut_from_store = false;
-                    host.cut_workers.clear();
-                    host.loses_answers = false;
+                    host.is_partitioned_from_store = false;
+                    host.unreachable_workers.clear();
+                    host.loses_replies = false;
                 }
             }
             FaultKind::CoordinatorKilled | FaultKind::CoordinatorFrozen => {}
-            FaultKind::StoreUnavailable => self.store.is_away = is_on,
-            FaultKind::StoreRepliesLost => self.store.loses_answers = is_on,
-            FaultKind::WorkersCrash => self.cut_power(&few, is_on),
+            FaultKind::StoreUnavailable => self.store.is_unavailable = is_on,
+            FaultKind::StoreRepliesLost => self.store.loses_replies = is_on,
+            FaultKind::WorkersCrash => self.set_power_loss(&few, is_on),
             FaultKind::RackPowerLoss => {
                 let first = index * self.options.rack as usize % self.workers.len();
                 let rack = &self.workers[first].rack;
                 let of_rack = |at: &usize| self.workers[*at].rack == *rack;
                 let lost: Vec<usize> = (0..self.workers.len()).filter(of_rack).collect();
-                self.cut_power(&lost, is_on);
+                self.set_power_loss(&lost, is_on);
             }
-            FaultKind::CapacityShrinks => self.shrink(&third, is_on),
-            FaultKind::OrdersLate => self.orders_late = is_on,
+            FaultKind::CapacityShrinks => self.set_shrunk(&third, is_on),
+            FaultKind::OrdersLate => self.is_delaying_orders = is_on,
             FaultKind::WorkersLeave => {
                 for at in few {
                     if is_on {
@@ -73,18 +73,18 @@
                         self.workers[at].draining_since = None;
                         self.workers[at].leaves_at = None;
                         if self.workers[at].is_up() {
-                            self.crash(at, PollFailure::NoAnswer);
+                            self.crash_worker(at, PollFailure::NoAnswer);
                         }
-                        self.workers[at].come_back();
+                        self.workers[at].restore();
                     }
                 }
             }
             FaultKind::WorkersSlow => {
                 for at in few {
-                    self.workers[at].slowness = if is_on { 5 } else { 1 };
+                    self.workers[at].fault_slowdown = if is_on { 5 } else { 1 };
                 }
             }
-            FaultKind::WorkersHang => self.hang(&few, is_on),
+            FaultKind::WorkersHang => self.set_hung(&few, is_on),
             FaultKind::WorkersFailing => {
                 for at in few {
                     self.workers[at].is_failing = is_on;
@@ -94,19 +94,19 @@
     }
 
     /// Takes the power of workers away, or gives it back.
-    fn cut_power(&mut self, workers: &[usize], is_on: bool) {
+    fn set_power_loss(&mut self, workers: &[usize], is_on: bool) {
         for &at in workers {
             if is_on {
-                self.workers[at].presence = Presence::Silent;
-                self.crash(at, PollFailure::NoAnswer);
+                self.workers[at].reachability = Reachability::Silent;
+                self.crash_worker(at, PollFailure::NoAnswer);
             } else {
-                self.workers[at].come_back();
+                self.workers[at].restore();
             }
         }
     }
 
     /// Halves the capacity of workers, or makes it whole.
-    fn shrink(&mut self, workers: &[usize], is_on: bool) {
+    fn set_shrunk(&mut self, workers: &[usize], is_on: bool) {
         let whole = self.options.workload.capacity;
         for &at in workers {
             self.workers[at].capacity = if is_on { halved(whole) } else { whole };
--- a/ragwortwick-emulator/src/host.rs
+++ b/ragwortwick-emulator/src/host.rs
@@ -1,36 +1,36 @@
-//! A host that coordinates: its state machine, and what it can reach.
+//! A host that may coordinate: its coordinator, and which systems it can reach.
 
 use std::collections::BTreeSet;
 
 use ragwortwick_area::Coordinator;
 use ragwortwick_core::{JobId, TimeMs, WorkerName};
 
-/// `Host` is one process that may coordinate.
+/// `Host` is one process that may be elected coordinator.
 #[derive(Debug, Default)]
 pub(crate) struct Host {
     pub(crate) term: Option<Term>,
-    pub(crate) is_cut_from_store: bool,
-    /// Workers that it can't reach, both ways.
-    pub(crate) cut_workers: BTreeSet<WorkerName>,
-    /// Answers of workers don't come back.
-    pub(crate) loses_answers: bool,
-    /// It stands still until then.
+    pub(crate) is_partitioned_from_store: bool,
+    /// Workers that are unreachable from the host, in both directions.
+    pub(crate) unreachable_workers: BTreeSet<WorkerName>,
+    /// Replies of workers are dropped.
+    pub(crate) loses_replies: bool,
+    /// End of a pause of the process.
     pub(crate) frozen_until: Option<TimeMs>,
-    /// When its coordinator wakes next.
-    pub(crate) wakes_at: Option<TimeMs>,
-    /// A killed process comes back then.
+    /// Time of the coordinator's next scheduled wakeup.
+    pub(crate) wakeup_at: Option<TimeMs>,
+    /// Time at which a killed process restarts.
     pub(crate) down_until: Option<TimeMs>,
 }
 
-/// `Term` is one term of coordination.
+/// `Term` is one election term of a coordinator.
 #[derive(Debug)]
 pub(crate) struct Term {
     pub(crate) number: u64,
     pub(crate) coordinator: Coordinator,
-    /// Jobs that it was told of, and of which it was told that they are cancelled.
-    pub(crate) told: BTreeSet<JobId>,
-    pub(crate) told_cancelled: BTreeSet<JobId>,
-    pub(crate) told_workers: BTreeSet<WorkerName>,
+    /// Jobs reported to the coordinator, and those reported as cancelled.
+    pub(crate) known_jobs: BTreeSet<JobId>,
+    pub(crate) known_cancelled: BTreeSet<JobId>,
+    pub(crate) known_workers: BTreeSet<WorkerName>,
 }
 
 impl Host {
@@ -40,10 +40,10 @@
     }
 
     pub(crate) fn reaches_store(&self) -> bool {
-        !self.is_cut_from_store
+        !self.is_partitioned_from_store
     }
 
     pub(crate) fn reaches(&self, worker: &WorkerName) -> bool {
-        !self.cut_workers.contains(worker)
+        !self.unreachable_workers.contains(worker)
     }
 }
--- a/ragwortwick-emulator/src/network.rs
+++ b/ragwortwick-emulator/src/network.rs
@@ -4,12 +4,12 @@
 use ragwortwick_core::WorkerName;
 use rand::Rng;
 
-use crate::simulation::{Happening, Simulation};
+use crate::simulation::{SimEvent, Simulation};
 
 impl Simulation {
-    pub(crate) fn send(&mut self, host: usize, term: u64, action: Action) {
+    pub(crate) fn send_order(&mut self, host: usize, term: u64, action: Action) {
         let is_order = !matches!(action, Action::Poll { .. });
-        let is_late = self.orders_late && is_order && self.rng.random_bool(0.15);
+        let is_late = self.is_delaying_orders && is_order && self.rng.random_bool(0.15);
         let worker = match &action {
             Action::Start { worker, .. }
             | Action::Stop { worker, .. }
@@ -17,28 +17,28 @@
             _ => return,
         };
         if !self.hosts[host].reaches(&worker) {
-            self.reply_unknown(host, term, &action);
+            self.reply_timeout(host, term, &action);
             return;
         }
         if is_late {
-            self.reply_unknown(host, term, &action);
+            self.reply_timeout(host, term, &action);
         }
         let delay_ms = if is_late {
             self.rng.random_range(2_000..12_000)
         } else {
             self.rng.random_range(1..4)
         };
-        let deliver = Happening::Deliver {
+        let deliver = SimEvent::DeliverOrder {
             host,
             term,
             action,
             is_late,
             wants_reply: !is_late,
         };
-        self.after(delay_ms, deliver);
+        self.schedule_after(delay_ms, deliver);
     }
 
-    pub(crate) fn reply_unknown(&mut self, host: usize, term: u64, action: &Action) {
+    pub(crate) fn reply_timeout(&mut self, host: usize, term: u64, action: &Action) {
         let (event, delay_ms) = match action {
             Action::Start {
                 worker, task, run, ..
@@ -73,11 +73,11 @@
             }
             _ => return,
         };
-        self.after(delay_ms, Happening::Hear { host, term, event });
+        self.schedule_after(delay_ms, SimEvent::DeliverEvent { host, term, event });
     }
 
     /// The machine of a crashed worker refuses the connection.
-    pub(crate) fn reply_refused(&mut self, host: usize, term: u64, action: &Action) {
+    pub(crate) fn reply_connection_refused(&mut self, host: usize, term: u64, action: &Action) {
         if let Action::Poll { worker, .. } = action {
             let event = Event::PollFailed {
                 worker: worker.clone(),
@@ -85,24 +85,24 @@
             };
             self.reply(host, term, worker, event);
         } else {
-            self.reply_unknown(host, term, action);
+            self.reply_timeout(host, term, action);
         }
     }
 
     /// Sends an answer back, unless answers are cut.
     pub(crate) fn reply(&mut self, host: usize, term: u64, worker: &WorkerName, event: Event) {
-        let is_lost = self.hosts[host].loses_answers || !self.hosts[host].reaches(worker);
+        let is_lost = self.hosts[host].loses_replies || !self.hosts[host].reaches(worker);
         let (event, delay_ms) = if is_lost {
-            (unanswered(event), 600)
+            (as_timeout(event), 600)
         } else {
             (event, 1)
         };
-        self.after(delay_ms, Happening::Hear { host, term, event });
+        self.schedule_after(delay_ms, SimEvent::DeliverEvent { host, term, event });
     }
 }
 
 /// What a coordinator hears in place of an answer that is lost.
-fn unanswered(event: Event) -> Event {
+fn as_timeout(event: Event) -> Event {
     match event {
         Event::StartReplied {
             worker, task, run, ..
--- a/ragwortwick-emulator/src/orders.rs
+++ b/ragwortwick-emulator/src/orders.rs
@@ -4,21 +4,21 @@
 use ragwortwick_core::DurationMs;
 use rand::Rng;
 
-use crate::invariants::StartSeen;
-use crate::simulation::{Happening, Simulation};
-use crate::worker::{Attempt, EmuWorker, Presence, read_checkpoint};
+use crate::invariants::ObservedStart;
+use crate::simulation::{SimEvent, Simulation};
+use crate::worker::{ActiveRun, Reachability, SimWorker, read_checkpoint};
 
 /// How long after it shrank a worker's capacity still counts as whole for what begins there.
-const SHRUNK_COUNTS_AFTER_MS: DurationMs = DurationMs(4_500);
+const SHRINK_GRACE_MS: DurationMs = DurationMs(4_500);
 
 impl Simulation {
-    pub(crate) fn deliver(
+    pub(crate) fn deliver_order(
         &mut self,
         host: usize,
         term: u64,
         action: Action,
         is_late: bool,
-        wants: bool,
+        wants_reply: bool,
     ) {
         let name = match &action {
             Action::Start { worker, .. }
@@ -27,19 +27,19 @@
             _ => return,
         };
         let number = name.as_str().split('-').next().unwrap_or("");
-        let same = |worker: &EmuWorker| worker.name.as_str().split('-').next() == Some(number);
+        let same = |worker: &SimWorker| worker.name.as_str().split('-').next() == Some(number);
         let Some(index) = self.workers.iter().position(same) else {
             return;
         };
         if !self.workers[index].is_up() {
-            if wants && self.workers[index].presence == Presence::Refusing {
-                self.reply_refused(host, term, &action);
-            } else if wants {
-                self.reply_unknown(host, term, &action);
+            if wants_reply && self.workers[index].reachability == Reachability::Refusing {
+                self.reply_connection_refused(host, term, &action);
+            } else if wants_reply {
+                self.reply_timeout(host, term, &action);
             }
             return;
         }
-        let is_wrong_life = self.workers[index].name != name;
+        let is_wrong_incarnation = self.workers[index].name != name;
         let event = match action {
             Action::Start {
                 worker,
@@ -51,7 +51,7 @@
                 ticket,
                 ..
             } => {
-                let reply = if is_wrong_life {
+                let reply = if is_wrong_incarnation {
                     OrderReply::WrongLife
                 } else {
                     self.start(
@@ -76,14 +76,16 @@
             Action::Stop {
                 worker, task, run, ..
             } => {
-                let reply = if is_wrong_life {
+                let reply = if is_wrong_incarnation {
                     OrderReply::WrongLife
                 } else {
                     let reply = self.workers[index].stop(self.now, term, &task, run);
-                    let there = self.workers[index].running.get(&task);
-                    let there = there.map(|held| held.run).filter(|&held| held <= run);
-                    if let (OrderReply::Accepted { .. }, Some(there)) = (reply, there) {
-                        self.after_stop(index, &task, there);
+                    let active = self.workers[index].running.get(&task);
+                    let active = active
+                        .map(|active| active.run)
+                        .filter(|&active_run| active_run <= run);
+                    if let (OrderReply::Accepted { .. }, Some(active)) = (reply, active) {
+                        self.finish_stop(index, &task, active);
                     }
                     reply
                 };
@@ -101,29 +103,29 @@
                 wait_ms,
                 ..
             } => {
-                if is_wrong_life {
+                if is_wrong_incarnation {
                     Event::PollFailed {
                         worker,
                         failure: PollFailure::WrongLife,
                     }
                 } else {
-                    self.look(host, term, index, lease_until_ms, acked_end, wait_ms);
+                    self.poll(host, term, index, lease_until_ms, acked_end, wait_ms);
                     return;
                 }
             }
             _ => return,
         };
-        if wants {
+        if wants_reply {
             self.reply(host, term, &name, event);
         }
     }
 
-    fn after_stop(&mut self, index: usize, task: &TaskId, run: u32) {
+    fn finish_stop(&mut self, index: usize, task: &TaskId, run: u32) {
         let stop_ms = self.options.workload.stop_ms;
         if stop_ms == 0 {
-            self.end(index, task, EndKind::Stopped);
+            self.end_run(index, task, EndKind::Stopped);
         } else {
-            self.after(stop_ms, Happening::Stopped(index, task.clone(), run));
+            self.schedule_after(stop_ms, SimEvent::FinishStop(index, task.clone(), run));
         }
     }
 
@@ -144,9 +146,9 @@
         is_late: bool,
     ) -> OrderReply {
         let lease_ms = self.options.limits.lease_ms;
-        let admitted = self.workers[index].admit(self.now, term, task, run, until, lease_ms);
+        let admitted = self.workers[index].admit_start(self.now, term, task, run, until, lease_ms);
         match admitted {
-            Ok(true) if !self.holds_ticket(index, task, ticket) => {
+            Ok(true) if !self.has_valid_ticket(index, task, ticket) => {
                 return OrderReply::Refused(RefusalCause::NoTicket);
             }
             Ok(true) => {}
@@ -157,65 +159,66 @@
             }
             Err(cause) => return OrderReply::Refused(cause),
         }
-        self.judge_start(index, task, run, payload, checkpoint, is_late);
+        self.observe_start(index, task, run, payload, checkpoint, is_late);
         let arrival = &self.arrivals[self.by_job[&task.job_id]];
         let spec = &arrival.record.steps[task.step as usize];
-        let is_far = spec
+        let is_remote = spec
             .data_rack
             .as_ref()
             .is_some_and(|rack| rack.as_str() != self.workers[index].rack);
-        let far = if is_far { 3.0 } else { 1.0 };
-        let failing = arrival.failing;
-        let will_fail = self.workers[index].is_failing || self.rng.random_bool(failing);
+        let penalty = if is_remote { 3.0 } else { 1.0 };
+        let failure_probability = arrival.failure_probability;
+        let will_fail = self.workers[index].is_failing || self.rng.random_bool(failure_probability);
         let is_gang = spec.is_gang;
-        let saving = self.workers[index].saving;
+        let checkpoint_policy = self.workers[index].checkpoint_policy;
         let (_, saved_ms) = read_checkpoint(checkpoint);
         let work_ms = arrival.work_ms[task.step as usize];
-        let mut held = Attempt {
+        let mut active = ActiveRun {
             run,
             need: spec.need,
             started_at: self.now,
             work_ms,
-            brought_ms: if saving.is_restored {
+            done_before_ms: if checkpoint_policy.is_restored {
                 saved_ms.min(work_ms)
             } else {
                 DurationMs(0)
             },
-            factor: 0.0,
+            slowdown: 0.0,
             span: None,
             will_fail,
-            saves: spec.saves_checkpoints,
+            saves_checkpoints: spec.saves_checkpoints,
         };
         if !is_gang {
-            let factor = self.workers[index].factor() * far;
-            held.begin(self.now, factor, saving.restore_ms);
+            let slowdown = self.workers[index].slowdown() * penalty;
+            active.start_work(self.now, slowdown, checkpoint_policy.restore_ms);
             if self.workers[index].is_hung {
-                held.pause(self.now);
+                active.pause(self.now);
             }
         }
-        self.workers[index].running.insert(task.clone(), held);
+        self.workers[index].running.insert(task.clone(), active);
         if is_gang {
             self.join_gang(index, task, run, will_fail);
         }
-        self.plan_crash(index, task);
+        self.schedule_crash(index, task);
         OrderReply::Accepted {
             clock_ms: self.workers[index].clock(self.now),
         }
     }
 
     /// Lets the task crash its worker after a while, if it is one that does.
-    fn plan_crash(&mut self, index: usize, task: &TaskId) {
-        let crasher = self.arrivals[self.by_job[&task.job_id]].crasher;
-        let Some(crasher) = crasher.filter(|crasher| crasher.index == task.index && task.step == 0)
+    fn schedule_crash(&mut self, index: usize, task: &TaskId) {
+        let crashing_task = self.arrivals[self.by_job[&task.job_id]].crashing_task;
+        let Some(crashing_task) = crashing_task
+            .filter(|crashing_task| crashing_task.index == task.index && task.step == 0)
         else {
             return;
         };
         let name = self.workers[index].name.clone();
-        let crash = Happening::TaskCrashes(index, name, task.clone());
-        self.after(crasher.after_ms, crash);
+        let crash = SimEvent::CrashWorker(index, name, task.clone());
+        self.schedule_after(crashing_task.after_ms, crash);
     }
 
-    pub(crate) fn judge_start(
+    pub(crate) fn observe_start(
         &mut self,
         index: usize,
         task: &TaskId,
@@ -238,7 +241,7 @@
         // Coordinators learn of what has shrunk by the worker's entry.
         let is_just_shrunk = worker
             .shrunk_at
-            .is_some_and(|at| self.now.since(at) <= SHRUNK_COUNTS_AFTER_MS);
+            .is_some_and(|at| self.now.since(at) <= SHRINK_GRACE_MS);
         let capacity = if is_just_shrunk {
             self.options.workload.capacity
         } else {
@@ -261,7 +264,7 @@
                     index,
                     ..task.clone()
                 };
-                self.truth.done.contains(&id)
+                self.ground_truth.done.contains(&id)
             };
             if before.is_gang {
                 (0..before.count).any(is_done)
@@ -273,7 +276,7 @@
             || self.now + DurationMs(250) >= record.due_unix_ms(task.occurrence);
         let expected = format!("{}.{}.{}", task.job_id, task.occurrence, task.step);
         let stored = self.store.jobs.get(&task.job_id);
-        let seen = StartSeen {
+        let observed = ObservedStart {
             now: self.now,
             worker: &worker.name.clone(),
             task,
@@ -295,6 +298,6 @@
             is_payload_right: *record.payload == *payload,
             is_checkpoint_right: checkpoint.is_empty() || read_checkpoint(checkpoint).0 == expected,
         };
-        self.truth.started(&seen);
+        self.ground_truth.check_start(&observed);
     }
 }
--- a/ragwortwick-emulator/src/runs.rs
+++ b/ragwortwick-emulator/src/runs.rs
@@ -5,12 +5,12 @@
 use ragwortwick_area::{EndKind, Event, PollFailure, RefusalCause, TaskId};
 use ragwortwick_core::{DurationMs, WorkerName};
 
-use crate::simulation::{GangKey, Happening, Simulation};
+use crate::simulation::{GangKey, SimEvent, Simulation};
 use crate::value::LostWorkCause;
-use crate::worker::{Presence, WaitingLook};
+use crate::worker::{PendingPoll, Reachability};
 
 /// How long a worker is away whose process a task has crashed.
-const CRASHED_FOR_MS: u64 = 3_000;
+const CRASH_OUTAGE_MS: u64 = 3_000;
 
 impl Simulation {
     pub(crate) fn join_gang(&mut self, index: usize, task: &TaskId, run: u32, will_fail: bool) {
@@ -38,53 +38,57 @@
             .iter()
             .map(|(_, at)| self.workers[*at].rack.as_str())
             .collect();
-        let far = if spec.wants_same_rack && racks.len() > 1 {
+        let penalty = if spec.wants_same_rack && racks.len() > 1 {
             3.0
         } else {
             1.0
         };
         for (position, (id, at)) in members.iter().enumerate() {
             let worker = &self.workers[*at];
-            let (factor, is_hung, saving) = (worker.factor() * far, worker.is_hung, worker.saving);
-            if let Some(held) = self.workers[*at].running.get_mut(id) {
-                held.begin(now, factor, saving.restore_ms);
+            let (slowdown, is_hung, checkpoint_policy) = (
+                worker.slowdown() * penalty,
+                worker.is_hung,
+                worker.checkpoint_policy,
+            );
+            if let Some(active) = self.workers[*at].running.get_mut(id) {
+                active.start_work(now, slowdown, checkpoint_policy.restore_ms);
                 if is_hung {
-                    held.pause(now);
+                    active.pause(now);
                 }
-                held.will_fail = will_fail && position == 0;
+                active.will_fail = will_fail && position == 0;
             }
         }
     }
 
     pub(crate) fn tick_gangs(&mut self) {
         let wait_ms = self.options.limits.gang_wait_ms;
-        let alone: Vec<GangKey> = self
+        let incomplete: Vec<GangKey> = self
             .gangs
             .iter()
             .filter(|(_, gang)| !gang.is_begun && self.now.since(gang.first_at) > wait_ms)
             .map(|(key, _)| key.clone())
             .collect();
-        for key in alone {
+        for key in incomplete {
             if let Some(gang) = self.gangs.remove(&key) {
                 for (task, index) in gang.members {
-                    self.end_if(index, &task, key.3, EndKind::GangIncomplete);
+                    self.end_if_current(index, &task, key.3, EndKind::GangIncomplete);
                 }
             }
         }
     }
 
-    pub(crate) fn end_if(&mut self, index: usize, task: &TaskId, run: u32, kind: EndKind) {
+    pub(crate) fn end_if_current(&mut self, index: usize, task: &TaskId, run: u32, kind: EndKind) {
         let is_there = self.workers[index]
             .running
             .get(task)
-            .is_some_and(|held| held.run == run);
+            .is_some_and(|active| active.run == run);
         if is_there {
-            self.end(index, task, kind);
+            self.end_run(index, task, kind);
         }
     }
 
     /// Lets what runs on some workers stand still, or go on.
-    pub(crate) fn hang(&mut self, hung: &[usize], is_on: bool) {
+    pub(crate) fn set_hung(&mut self, hung: &[usize], is_on: bool) {
         for &index in hung {
             self.workers[index].is_hung = is_on;
         }
@@ -94,7 +98,7 @@
                 if is_on && run.span.is_some() {
                     run.pause(now);
                 } else if !is_on {
-                    run.go_on(now);
+                    run.resume(now);
                 }
             }
         }
@@ -112,22 +116,22 @@
     }
 
     /// Ends a run on a worker, and with it what depends on it.
-    pub(crate) fn end(&mut self, index: usize, task: &TaskId, kind: EndKind) {
+    pub(crate) fn end_run(&mut self, index: usize, task: &TaskId, kind: EndKind) {
         let Some(run) = self.workers[index].end(self.now, task, kind) else {
             return;
         };
         let is_gang = self.is_gang(task);
-        self.truth.ended(task, run.run, kind, is_gang);
+        self.ground_truth.record_end(task, run.run, kind, is_gang);
         if kind != EndKind::Done {
-            let lost_ms = run.unsaved_ms(self.now, kind, &self.workers[index].saving);
+            let lost_ms = run.unsaved_ms(self.now, kind, &self.workers[index].checkpoint_policy);
             let is_cancelled = self
                 .store
                 .jobs
                 .get(&task.job_id)
                 .is_some_and(|job| job.cancelled_at.is_some());
-            let why = LostWorkCause::of(kind, is_cancelled);
-            let wasted = lost_ms * run.need.core_equivalents();
-            *self.wasted_core_ms.entry(why).or_insert(0) += wasted;
+            let cause = LostWorkCause::of(kind, is_cancelled);
+            let lost_core_ms = lost_ms * run.need.core_equivalents();
+            *self.lost_core_ms.entry(cause).or_insert(0) += lost_core_ms;
         }
         let key = (task.job_id.clone(), task.occurrence, task.step, run.run);
         if kind != EndKind::GangIncomplete
@@ -140,26 +144,26 @@
             };
             for (member, at) in gang.members {
                 if member != *task {
-                    self.end_if(at, &member, run.run, others);
+                    self.end_if_current(at, &member, run.run, others);
                 }
             }
         }
-        self.answer_look(index);
+        self.reply_to_poll(index);
     }
 
-    pub(crate) fn answer_look(&mut self, index: usize) {
-        if let Some(waiting) = self.workers[index].waiting_look.take() {
+    pub(crate) fn reply_to_poll(&mut self, index: usize) {
+        if let Some(waiting) = self.workers[index].pending_poll.take() {
             let name = self.workers[index].name.clone();
             let event = Event::PollReplied {
                 worker: name.clone(),
                 sent_at: waiting.sent_at,
-                report: self.workers[index].told(self.now),
+                report: self.workers[index].report(self.now),
             };
             self.reply(waiting.host, waiting.term, &name, event);
         }
     }
 
-    pub(crate) fn look(
+    pub(crate) fn poll(
         &mut self,
         host: usize,
         term: u64,
@@ -170,8 +174,8 @@
     ) {
         let lease_ms = self.options.limits.lease_ms;
         let name = self.workers[index].name.clone();
-        let forgotten = match self.workers[index].look(self.now, term, until, noted, lease_ms) {
-            Ok(forgotten) => forgotten,
+        let acked = match self.workers[index].poll(self.now, term, until, noted, lease_ms) {
+            Ok(acked) => acked,
             Err(cause) => {
                 let failure = match cause {
                     RefusalCause::Fenced => PollFailure::Fenced,
@@ -185,23 +189,24 @@
                 return;
             }
         };
-        for end in forgotten {
-            if self.workers[index].is_lapsed(&end) {
+        for end in acked {
+            if self.workers[index].is_expired(&end) {
                 continue;
             }
             let is_gang = self.is_gang(&end.task);
-            self.truth.noted(&end.task, end.run, end.kind, is_gang);
+            self.ground_truth
+                .record_ack(&end.task, end.run, end.kind, is_gang);
         }
-        let waiting = WaitingLook {
+        let waiting = PendingPoll {
             host,
             term,
             sent_at: self.now - DurationMs(3),
             until: self.now + wait_ms,
         };
-        self.workers[index].waiting_look = Some(waiting);
+        self.workers[index].pending_poll = Some(waiting);
         let must_answer = wait_ms == DurationMs(0) || !self.workers[index].ended.is_empty();
         if must_answer {
-            self.answer_look(index);
+            self.reply_to_poll(index);
         }
     }
 
@@ -213,12 +218,12 @@
             .leaves_at
             .is_some_and(|at| self.now >= at)
         {
-            self.workers[index].presence = Presence::Silent;
-            self.crash(index, PollFailure::NoAnswer);
+            self.workers[index].reachability = Reachability::Silent;
+            self.crash_worker(index, PollFailure::NoAnswer);
             return;
         }
-        for task in self.workers[index].lapse(self.now) {
-            self.end(index, &task, EndKind::LeaseExpired);
+        for task in self.workers[index].expire_lease(self.now) {
+            self.end_run(index, &task, EndKind::LeaseExpired);
         }
         let due: Vec<(TaskId, bool)> = self.workers[index]
             .running
@@ -236,12 +241,12 @@
                 EndKind::Done
             };
             if self.workers[index].running.contains_key(&task) {
-                self.end(index, &task, kind);
+                self.end_run(index, &task, kind);
             }
         }
-        let is_waiting = self.workers[index].waiting_look.as_ref();
+        let is_waiting = self.workers[index].pending_poll.as_ref();
         if is_waiting.is_some_and(|look| self.now >= look.until) {
-            self.answer_look(index);
+            self.reply_to_poll(index);
         }
     }
 
@@ -251,31 +256,31 @@
     }
 
     /// A task crashes the process of its worker, unless it was stopped before.
-    pub(crate) fn task_crashes(&mut self, index: usize, name: &WorkerName, task: &TaskId) {
+    pub(crate) fn crash_by_task(&mut self, index: usize, name: &WorkerName, task: &TaskId) {
         let worker = &mut self.workers[index];
         if worker.name != *name || !worker.is_up() || !worker.running.contains_key(task) {
             return;
         }
-        worker.presence = Presence::Refusing;
-        self.truth.crashed(task);
-        self.crash(index, PollFailure::Closed);
-        self.after(CRASHED_FOR_MS, Happening::Back(index));
+        worker.reachability = Reachability::Refusing;
+        self.ground_truth.record_crash(task);
+        self.crash_worker(index, PollFailure::Closed);
+        self.schedule_after(CRASH_OUTAGE_MS, SimEvent::RestoreWorker(index));
     }
 
     /// Everything on the worker ends without a trace; gangs lose a member. A look under way fails at once
     /// if its connection is closed, and else when its answer is overdue.
-    pub(crate) fn crash(&mut self, index: usize, failure: PollFailure) {
+    pub(crate) fn crash_worker(&mut self, index: usize, failure: PollFailure) {
         let runs: Vec<(TaskId, u32)> = self.workers[index]
             .running
             .iter()
             .map(|(task, run)| (task.clone(), run.run))
             .collect();
-        if let Some(waiting) = self.workers[index].waiting_look.take() {
+        if let Some(waiting) = self.workers[index].pending_poll.take() {
             let event = Event::PollFailed {
                 worker: self.workers[index].name.clone(),
                 failure,
             };
-            let hear = Happening::Hear {
+            let deliver = SimEvent::DeliverEvent {
                 host: waiting.host,
                 term: waiting.term,
                 event,
@@ -285,7 +290,7 @@
             } else {
                 2_700
             };
-            self.after(delay_ms, hear);
+            self.schedule_after(delay_ms, deliver);
         }
         self.workers[index].restart();
         for (task, run) in runs {
@@ -293,7 +298,7 @@
             if let Some(gang) = self.gangs.remove(&key) {
                 for (member, at) in gang.members {
                     if at != index {
-                        self.end_if(at, &member, run, EndKind::GangBroken);
+                        self.end_if_current(at, &member, run, EndKind::GangBroken);
                     }
                 }
             }
--- a/ragwortwick-emulator/src/simulation.rs
+++ b/ragwortwick-emulator/src/simulation.rs
@@ -12,13 +12,13 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::advisor::Advisor;
-use crate::arrivals::{Arrival, Arrivals, desired};
+use crate::arrivals::{Arrival, Arrivals, desired_state};
 use crate::faults::Fault;
 use crate::host::Host;
-use crate::invariants::Truth;
+use crate::invariants::GroundTruth;
 use crate::store::{Store, StoredJob};
-use crate::value::{LostWorkCause, Scale, Seen, ValueReport};
-use crate::worker::{EmuWorker, Saving};
+use crate::value::{JobObservation, LostWorkCause, ValueModel, ValueReport};
+use crate::worker::{CheckpointPolicy, SimWorker};
 use crate::workload::Workload;
 
 /// How often leases, gangs, elections and feeds are looked after.
@@ -81,21 +81,21 @@
 }
 
 #[derive(Debug)]
-pub(crate) enum Happening {
+pub(crate) enum SimEvent {
     Tick,
-    Arrive(usize),
-    Cancel(usize),
-    Begin(usize),
-    Finish(usize),
-    Wakeup(usize, u64),
+    SubmitJob(usize),
+    CancelJob(usize),
+    BeginFault(usize),
+    EndFault(usize),
+    WakeCoordinator(usize, u64),
     /// A run that was told to stop ends: worker, task, run.
-    Stopped(usize, TaskId, u32),
+    FinishStop(usize, TaskId, u32),
     /// A task crashes the worker that runs it: worker, its life, task.
-    TaskCrashes(usize, WorkerName, TaskId),
+    CrashWorker(usize, WorkerName, TaskId),
     /// A crashed worker is back.
-    Back(usize),
+    RestoreWorker(usize),
     /// An order reaches a worker.
-    Deliver {
+    DeliverOrder {
         host: usize,
         term: u64,
         action: Action,
@@ -103,13 +103,13 @@
         wants_reply: bool,
     },
     /// An event reaches a coordinator.
-    Hear {
+    DeliverEvent {
         host: usize,
         term: u64,
         event: Event,
     },
     /// A batch reaches the store.
-    Commit {
+    CommitBatch {
         host: usize,
         term: u64,
         batch: u64,
@@ -133,25 +133,25 @@
     pub(crate) options: SimulationOptions,
     pub(crate) now: TimeMs,
     pub(crate) rng: Pcg64Mcg,
-    pub(crate) queue: BinaryHeap<Reverse<(TimeMs, u64)>>,
-    pub(crate) happenings: BTreeMap<u64, Happening>,
-    pub(crate) next_number: u64,
+    pub(crate) event_queue: BinaryHeap<Reverse<(TimeMs, u64)>>,
+    pub(crate) events: BTreeMap<u64, SimEvent>,
+    pub(crate) last_event_id: u64,
     pub(crate) arrivals: Vec<Arrival>,
     pub(crate) by_job: BTreeMap<JobId, usize>,
     pub(crate) faults: Vec<Fault>,
     pub(crate) store: Store,
-    pub(crate) workers: Vec<EmuWorker>,
+    pub(crate) workers: Vec<SimWorker>,
     pub(crate) hosts: Vec<Host>,
     pub(crate) gangs: BTreeMap<GangKey, Gang>,
-    pub(crate) truth: Truth,
+    pub(crate) ground_truth: GroundTruth,
     pub(crate) desired: Arc<DesiredState>,
     pub(crate) advisor: Advisor,
-    pub(crate) orders_late: bool,
-    pub(crate) calm_from: TimeMs,
-    pub(crate) last_feed: TimeMs,
-    pub(crate) last_renewal: TimeMs,
+    pub(crate) is_delaying_orders: bool,
+    pub(crate) quiet_from: TimeMs,
+    pub(crate) last_feed_at: TimeMs,
+    pub(crate) last_renewal_at: TimeMs,
     pub(crate) completed_at: BTreeMap<JobId, TimeMs>,
-    pub(crate) wasted_core_ms: BTreeMap<LostWorkCause, u64>,
+    pub(crate) lost_core_ms: BTreeMap<LostWorkCause, u64>,
 }
 
 impl Simulation {
@@ -161,22 +161,22 @@
         faults.extend(&options.workload.faults);
         let racks = options.workers.div_ceil(options.rack.max(1));
         let arrivals = Arrivals::draw(options.seed, &options.workload, racks).jobs;
-        let saving = Saving {
+        let checkpoint_policy = CheckpointPolicy {
             is_restored: options.workload.restores,
-            every_ms: options.limits.checkpoint_ms,
+            interval_ms: options.limits.checkpoint_ms,
             restore_ms: options.limits.restore_ms,
         };
-        let workers: Vec<EmuWorker> = (0..options.workers)
+        let workers: Vec<SimWorker> = (0..options.workers)
             .map(|number| {
                 let label = if number % 3 == 0 { "b" } else { "a" };
                 let speeds = &options.workload.speeds_percent;
-                EmuWorker::new(
+                SimWorker::new(
                     u64::from(number),
                     number / options.rack.max(1),
                     label,
                     options.workload.capacity,
                     speeds[number as usize % speeds.len()],
-                    saving,
+                    checkpoint_policy,
                 )
             })
             .collect();
@@ -192,73 +192,73 @@
             .unwrap_or_default();
         let last_arrival = arrivals.last().map(|job| job.at).unwrap_or_default();
         let accelerators = u64::from(options.workers) * options.workload.capacity.accelerators;
-        let mut world = Self {
+        let mut simulation = Self {
             now: TimeMs(0),
             rng: Pcg64Mcg::seed_from_u64(options.seed ^ 0x9e37),
-            queue: BinaryHeap::new(),
-            happenings: BTreeMap::new(),
-            next_number: 0,
+            event_queue: BinaryHeap::new(),
+            events: BTreeMap::new(),
+            last_event_id: 0,
             by_job,
             store: Store::default(),
             workers,
             hosts: (0..3).map(|_| Host::default()).collect(),
             gangs: BTreeMap::new(),
-            truth: Truth::default(),
-            desired: Arc::new(desired(&options.workload, accelerators)),
+            ground_truth: GroundTruth::default(),
+            desired: Arc::new(desired_state(&options.workload, accelerators)),
             advisor: Advisor::default(),
-            orders_late: false,
-            calm_from: last_fault.max(last_arrival),
-            last_feed: TimeMs(0),
-            last_renewal: TimeMs(0),
+            is_delaying_orders: false,
+            quiet_from: last_fault.max(last_arrival),
+            last_feed_at: TimeMs(0),
+            last_renewal_at: TimeMs(0),
             completed_at: BTreeMap::new(),
-            wasted_core_ms: BTreeMap::new(),
+            lost_core_ms: BTreeMap::new(),
             arrivals,
             faults,
             options,
         };
-        world.plan();
-        world
+        simulation.schedule_inputs();
+        simulation
     }
 
-    fn plan(&mut self) {
+    fn schedule_inputs(&mut self) {
         for index in 0..self.arrivals.len() {
             let (at, cancel_at) = (self.arrivals[index].at, self.arrivals[index].cancel_at);
-            self.at(at, Happening::Arrive(index));
+            self.schedule_at(at, SimEvent::SubmitJob(index));
             if let Some(cancel_at) = cancel_at {
-                self.at(cancel_at, Happening::Cancel(index));
+                self.schedule_at(cancel_at, SimEvent::CancelJob(index));
             }
         }
         for index in 0..self.faults.len() {
             let fault = self.faults[index];
-            self.at(fault.at, Happening::Begin(index));
-            self.at(fault.at + fault.for_ms, Happening::Finish(index));
+            self.schedule_at(fault.at, SimEvent::BeginFault(index));
+            self.schedule_at(fault.at + fault.for_ms, SimEvent::EndFault(index));
         }
-        self.at(TimeMs(1), Happening::Tick);
+        self.schedule_at(TimeMs(1), SimEvent::Tick);
     }
 
-    pub(crate) fn at(&mut self, at: TimeMs, happening: Happening) {
-        self.next_number += 1;
-        self.queue.push(Reverse((at, self.next_number)));
-        self.happenings.insert(self.next_number, happening);
+    pub(crate) fn schedule_at(&mut self, at: TimeMs, event: SimEvent) {
+        self.last_event_id += 1;
+        self.event_queue.push(Reverse((at, self.last_event_id)));
+        self.events.insert(self.last_event_id, event);
     }
 
-    pub(crate) fn after(&mut self, span_ms: u64, happening: Happening) {
-        self.at(self.now + DurationMs(span_ms), happening);
+    pub(crate) fn schedule_after(&mut self, span_ms: u64, event: SimEvent) {
+        self.schedule_at(self.now + DurationMs(span_ms), event);
     }
 
     /// `run` plays everything and tells what was found.
     #[must_use]
     pub fn run(mut self) -> SimulationReport {
-        let end = self.calm_from + SETTLE_MS;
-        while let Some(Reverse((at, number))) = self.queue.pop() {
+        let end = self.quiet_from + SETTLE_MS;
+        while let Some(Reverse((at, number))) = self.event_queue.pop() {
             self.now = at;
-            if at > end || (at > self.calm_from && self.is_settled()) {
+            if at > end || (at > self.quiet_from && self.is_settled()) {
                 break;
             }
-            if let Some(happening) = self.happenings.remove(&number) {
-                self.happen(happening);
+            if let Some(event) = self.events.remove(&number) {
+                self.handle(event);
             }
-            if self.truth.findings.len() > 20 {
+            if self.ground_truth.violations.len() > 20 {
                 break;
             }
         }
@@ -275,99 +275,106 @@
     }
 
     fn finish(mut self) -> SimulationReport {
-        let mut worth = ValueReport::default();
+        let mut value = ValueReport::default();
         let arrived = self.arrivals.iter().map(|arrival| &*arrival.record);
-        let scale = Scale::of(&self.options.workload, arrived);
+        let model = ValueModel::new(&self.options.workload, arrived);
         let jobs: Vec<StoredJob> = self.store.jobs.values().cloned().collect();
         for job in &jobs {
             let phase = job.progress.as_ref().map_or(JobPhase::Queued, |p| p.phase);
             let job_id = &job.record.job_id;
             if !phase.is_final() && job.cancelled_at.is_none() {
-                self.truth.left_open(self.now, job_id, phase);
+                self.ground_truth.report_unfinished(self.now, job_id, phase);
             }
             if job.cancelled_at.is_some() || job.record.schedule.is_some() {
                 continue;
             }
             let done_at = self.completed_at.get(job_id);
             let latency_ms = done_at.map(|at| at.since(job.record.accepted_unix_ms).0);
-            if !self.is_hopeless(job_id) {
-                let tally = self.truth.by_job.get(job_id).copied().unwrap_or_default();
+            if !self.is_infeasible(job_id) {
+                let counts = self
+                    .ground_truth
+                    .by_job
+                    .get(job_id)
+                    .copied()
+                    .unwrap_or_default();
                 let accepted_at = job.record.accepted_unix_ms;
-                let seen = Seen {
+                let observation = JobObservation {
                     objective_ms: self.objective_ms(job_id),
-                    chain_ms: self.chain_ms(job_id),
-                    first_start_ms: tally.first_start.map(|at| at.since(accepted_at).0),
+                    critical_path_ms: self.critical_path_ms(job_id),
+                    first_start_ms: counts.first_start.map(|at| at.since(accepted_at).0),
                     latency_ms,
-                    tally,
+                    counts,
                 };
-                worth.count(&scale, &job.record, &seen);
+                value.add_job(&model, &job.record, &observation);
             }
         }
         SimulationReport {
-            violations: self.truth.findings,
+            violations: self.ground_truth.violations,
             jobs: jobs.len(),
             completed: self.completed_at.len(),
-            starts: self.truth.starts,
-            stopped: self.truth.stopped,
-            expired: self.truth.lapsed,
+            starts: self.ground_truth.starts,
+            stopped: self.ground_truth.stopped,
+            expired: self.ground_truth.expired,
             ticket_refusals: self.advisor.refused,
             lost_core_s: self
-                .wasted_core_ms
+                .lost_core_ms
                 .iter()
                 .map(|(&cause, &ms)| (cause, ms / 1_000))
                 .collect(),
-            value: worth,
+            value,
         }
     }
 
     /// Whether every run of the job fails or crashes its worker, so that nobody can do it.
-    fn is_hopeless(&self, job_id: &JobId) -> bool {
+    fn is_infeasible(&self, job_id: &JobId) -> bool {
         let arrival = &self.arrivals[self.by_job[job_id]];
-        arrival.failing >= 1.0 || arrival.crasher.is_some()
+        arrival.failure_probability >= 1.0 || arrival.crashing_task.is_some()
     }
 
     /// The objective by the true work, as callers feel it.
     pub(crate) fn objective_ms(&self, job_id: &JobId) -> u64 {
         let terms = &self.arrivals[self.by_job[job_id]].record.policy;
-        terms.objective_ms(DurationMs(self.chain_ms(job_id))).0
+        terms
+            .objective_ms(DurationMs(self.critical_path_ms(job_id)))
+            .0
     }
 
     /// True duration of all steps, each of which waits for the one before.
-    fn chain_ms(&self, job_id: &JobId) -> u64 {
+    fn critical_path_ms(&self, job_id: &JobId) -> u64 {
         let arrival = &self.arrivals[self.by_job[job_id]];
         arrival.work_ms.iter().map(|span| span.0).sum()
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Tick => {
+    fn handle(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::Tick => {
                 self.tick();
-                self.after(TICK_MS.0, Happening::Tick);
+                self.schedule_after(TICK_MS.0, SimEvent::Tick);
             }
-            Happening::Arrive(index) => self.arrive(index),
-            Happening::Cancel(index) => self.cancel(index),
-            Happening::Begin(index) => self.set_fault(index, true),
-            Happening::Finish(index) => self.set_fault(index, false),
-            Happening::Wakeup(host, term) => self.wake(host, term),
-            Happening::Stopped(index, task, run) => {
-                self.end_if(index, &task, run, EndKind::Stopped);
+            SimEvent::SubmitJob(index) => self.submit_job(index),
+            SimEvent::CancelJob(index) => self.cancel_job(index),
+            SimEvent::BeginFault(index) => self.set_fault(index, true),
+            SimEvent::EndFault(index) => self.set_fault(index, false),
+            SimEvent::WakeCoordinator(host, term) => self.wake_coordinator(host, term),
+            SimEvent::FinishStop(index, task, run) => {
+                self.end_if_current(index, &task, run, EndKind::Stopped);
             }
-            Happening::TaskCrashes(index, name, task) => self.task_crashes(index, &name, &task),
-            Happening::Back(index) => self.workers[index].come_back(),
-            Happening::Deliver {
+            SimEvent::CrashWorker(index, name, task) => self.crash_by_task(index, &name, &task),
+            SimEvent::RestoreWorker(index) => self.workers[index].restore(),
+            SimEvent::DeliverOrder {
                 host,
                 term,
                 action,
                 is_late,
                 wants_reply,
-            } => self.deliver(host, term, action, is_late, wants_reply),
-            Happening::Hear { host, term, event } => self.hear(host, term, event),
-            Happening::Commit {
+            } => self.deliver_order(host, term, action, is_late, wants_reply),
+            SimEvent::DeliverEvent { host, term, event } => self.deliver_event(host, term, event),
+            SimEvent::CommitBatch {
                 host,
                 term,
                 batch,
                 records,
-            } => self.commit(host, term, batch, records),
+            } => self.commit_batch(host, term, batch, records),
         }
     }
 }
--- a/ragwortwick-emulator/src/store.rs
+++ b/ragwortwick-emulator/src/store.rs
@@ -16,8 +16,8 @@
     pub(crate) revision: u64,
     /// Who coordinates: the term, and until when its lease lasts.
     pub(crate) coordinator: Option<(u64, TimeMs)>,
-    pub(crate) is_away: bool,
-    pub(crate) loses_answers: bool,
+    pub(crate) is_unavailable: bool,
+    pub(crate) loses_replies: bool,
 }
 
 /// `StoredJob` is one job's keys.
@@ -36,8 +36,8 @@
             .map(|(term, _)| term)
     }
 
-    pub(crate) fn take_key(&mut self, now: TimeMs) -> Option<u64> {
-        if self.is_away || self.holder(now).is_some() {
+    pub(crate) fn acquire_coordinator_key(&mut self, now: TimeMs) -> Option<u64> {
+        if self.is_unavailable || self.holder(now).is_some() {
             return None;
         }
         self.revision += 1;
--- a/ragwortwick-emulator/src/submissions.rs
+++ b/ragwortwick-emulator/src/submissions.rs
@@ -2,13 +2,13 @@
 
 use std::sync::Arc;
 
-use crate::simulation::{Happening, Simulation};
+use crate::simulation::{SimEvent, Simulation};
 use crate::store::StoredJob;
 
 impl Simulation {
-    pub(crate) fn arrive(&mut self, index: usize) {
-        if self.store.is_away {
-            self.after(200, Happening::Arrive(index));
+    pub(crate) fn submit_job(&mut self, index: usize) {
+        if self.store.is_unavailable {
+            self.schedule_after(200, SimEvent::SubmitJob(index));
             return;
         }
         let mut record = (*self.arrivals[index].record).clone();
@@ -21,12 +21,12 @@
         self.store.jobs.insert(job.record.job_id.clone(), job);
     }
 
-    pub(crate) fn cancel(&mut self, index: usize) {
+    pub(crate) fn cancel_job(&mut self, index: usize) {
         let job_id = self.arrivals[index].record.job_id.clone();
-        let is_away = self.store.is_away;
+        let is_unavailable = self.store.is_unavailable;
         match self.store.jobs.get_mut(&job_id) {
-            Some(job) if !is_away => job.cancelled_at = Some(self.now),
-            _ => self.after(200, Happening::Cancel(index)),
+            Some(job) if !is_unavailable => job.cancelled_at = Some(self.now),
+            _ => self.schedule_after(200, SimEvent::CancelJob(index)),
         }
     }
 }
--- a/ragwortwick-emulator/src/ticks.rs
+++ b/ragwortwick-emulator/src/ticks.rs
@@ -16,32 +16,32 @@
             self.tick_worker(index);
         }
         self.tick_gangs();
-        let is_feed = self.now.since(self.last_feed) >= FEED_MS;
+        let is_feed = self.now.since(self.last_feed_at) >= FEED_MS;
         if is_feed {
-            self.last_feed = self.now;
+            self.last_feed_at = self.now;
         }
-        let is_renewal = self.now.since(self.last_renewal) >= FEED_MS;
+        let is_renewal = self.now.since(self.last_renewal_at) >= FEED_MS;
         if is_renewal {
-            self.last_renewal = self.now;
+            self.last_renewal_at = self.now;
         }
         for host in 0..self.hosts.len() {
             if self.hosts[host].is_stopped(self.now) {
                 continue;
             }
-            self.elect(host);
+            self.try_elect(host);
             if is_renewal {
-                self.renew(host);
+                self.renew_term(host);
             }
-            self.feed(host, is_feed);
+            self.feed_coordinator(host, is_feed);
         }
     }
 
-    pub(crate) fn elect(&mut self, host: usize) {
+    pub(crate) fn try_elect(&mut self, host: usize) {
         let may_try = self.hosts[host].term.is_none() && self.hosts[host].reaches_store();
         if !may_try {
             return;
         }
-        let Some(number) = self.store.take_key(self.now) else {
+        let Some(number) = self.store.acquire_coordinator_key(self.now) else {
             return;
         };
         let entries: Vec<_> = self
@@ -50,10 +50,10 @@
             .filter(|worker| worker.is_up())
             .map(|worker| worker.entry(self.now))
             .collect();
-        let told_workers = entries.iter().map(|entry| entry.name.clone()).collect();
-        let told = self.store.jobs.keys().cloned().collect();
+        let known_workers = entries.iter().map(|entry| entry.name.clone()).collect();
+        let known_jobs = self.store.jobs.keys().cloned().collect();
         let cancelled = self.store.jobs.values();
-        let told_cancelled = cancelled
+        let known_cancelled = cancelled
             .filter(|job| job.cancelled_at.is_some())
             .map(|job| job.record.job_id.clone())
             .collect();
@@ -64,48 +64,48 @@
             self.store.known_jobs(),
             entries,
         );
-        self.hosts[host].wakes_at = None;
+        self.hosts[host].wakeup_at = None;
         self.hosts[host].term = Some(Term {
             number,
             coordinator,
-            told,
-            told_cancelled,
-            told_workers,
+            known_jobs,
+            known_cancelled,
+            known_workers,
         });
         let until = self.now + LEASE_TTL_MS - DurationMs(200);
-        self.hear(host, number, Event::LeaseExtended { until });
+        self.deliver_event(host, number, Event::LeaseExtended { until });
     }
 
-    pub(crate) fn renew(&mut self, host: usize) {
+    pub(crate) fn renew_term(&mut self, host: usize) {
         let Some(number) = self.hosts[host].term.as_ref().map(|term| term.number) else {
             return;
         };
-        if self.store.is_away || !self.hosts[host].reaches_store() {
+        if self.store.is_unavailable || !self.hosts[host].reaches_store() {
             return;
         }
         if self.store.renew(self.now, number) {
             let until = self.now + LEASE_TTL_MS - DurationMs(200);
-            self.hear(host, number, Event::LeaseExtended { until });
+            self.deliver_event(host, number, Event::LeaseExtended { until });
         } else {
             self.hosts[host].term = None;
         }
     }
 
-    pub(crate) fn feed(&mut self, host: usize, is_feed: bool) {
-        if self.store.is_away || !self.hosts[host].reaches_store() {
+    pub(crate) fn feed_coordinator(&mut self, host: usize, is_feed: bool) {
+        if self.store.is_unavailable || !self.hosts[host].reaches_store() {
             return;
         }
-        let cut = self.hosts[host].cut_workers.clone();
+        let unreachable = self.hosts[host].unreachable_workers.clone();
         let Some(term) = &mut self.hosts[host].term else {
             return;
         };
         let number = term.number;
         let mut events = Vec::new();
         for (job_id, job) in &self.store.jobs {
-            if term.told.insert(job_id.clone()) {
+            if term.known_jobs.insert(job_id.clone()) {
                 events.push(Event::JobAccepted(Arc::clone(&job.record)));
             }
-            if job.cancelled_at.is_some() && term.told_cancelled.insert(job_id.clone()) {
+            if job.cancelled_at.is_some() && term.known_cancelled.insert(job_id.clone()) {
                 events.push(Event::JobCancelled(job_id.clone()));
             }
         }
@@ -114,18 +114,18 @@
             for worker in self
                 .workers
                 .iter()
-                .filter(|worker| worker.is_up() && !cut.contains(&worker.name))
+                .filter(|worker| worker.is_up() && !unreachable.contains(&worker.name))
             {
                 present.insert(worker.name.clone());
                 events.push(Event::WorkerUpdated(worker.entry(self.now)));
             }
-            let gone: Vec<_> = term.told_workers.difference(&present).cloned().collect();
+            let gone: Vec<_> = term.known_workers.difference(&present).cloned().collect();
             events.extend(gone.into_iter().map(Event::WorkerRemoved));
-            term.told_workers = present;
+            term.known_workers = present;
             events.push(Event::WorkersConfirmed);
         }
         for event in events {
-            self.hear(host, number, event);
+            self.deliver_event(host, number, event);
         }
     }
 
--- a/ragwortwick-emulator/src/value.rs
+++ b/ragwortwick-emulator/src/value.rs
@@ -6,11 +6,11 @@
 use serde::{Deserialize, Serialize};
 
 use crate::arrivals::as_float;
-use crate::invariants::Tally;
+use crate::invariants::RunCounts;
 use crate::workload::{QueueWorkload, Workload};
 
 /// Up to this many times its objective a job is late; past it, it is worth nothing to its caller.
-const LATE_LIMIT: u64 = 3;
+const LATE_FACTOR: u64 = 3;
 
 /// `ValueAccount` is worth that was owed, and what was earned of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -123,25 +123,28 @@
     pub outcomes: Vec<JobOutcome>,
 }
 
-/// `Scale` tells what a job is worth within its objective.
-pub(crate) struct Scale<'a> {
-    load: &'a Workload,
+/// `ValueModel` tells what a job is worth within its objective.
+pub(crate) struct ValueModel<'a> {
+    workload: &'a Workload,
     /// Mean work of a queue's jobs.
     means: BTreeMap<&'a str, f64>,
 }
 
-impl<'a> Scale<'a> {
+impl<'a> ValueModel<'a> {
     /// Weighs by the mean work of each queue's jobs that come in.
-    pub(crate) fn of(load: &'a Workload, records: impl Iterator<Item = &'a JobRecord>) -> Self {
+    pub(crate) fn new(
+        workload: &'a Workload,
+        records: impl Iterator<Item = &'a JobRecord>,
+    ) -> Self {
         let mut sums: BTreeMap<&str, (f64, f64)> = BTreeMap::new();
         for record in records {
             let sum = sums.entry(record.queue.as_str()).or_default();
-            sum.0 += work(record);
+            sum.0 += job_work(record);
             sum.1 += 1.0;
         }
         let means = sums.into_iter();
         Self {
-            load,
+            workload,
             means: means
                 .map(|(name, (sum, count))| (name, sum / count))
                 .collect(),
@@ -150,26 +153,33 @@
 
     fn queue(&self, record: &JobRecord) -> Option<&QueueWorkload> {
         let name = record.queue.as_str();
-        self.load.queues.iter().find(|queue| queue.name == name)
+        self.workload.queues.iter().find(|queue| queue.name == name)
     }
 
     /// Large jobs are worth more, at seven tenths of their work and up to four times the mean.
-    fn size(&self, record: &JobRecord) -> f64 {
+    fn relative_size(&self, record: &JobRecord) -> f64 {
         let mean = self.means.get(record.queue.as_str()).copied();
-        (0.3 + 0.7 * work(record) / mean.unwrap_or(1.0).max(f64::MIN_POSITIVE)).min(4.0)
+        (0.3 + 0.7 * job_work(record) / mean.unwrap_or(1.0).max(f64::MIN_POSITIVE)).min(4.0)
     }
 }
 
 impl ValueReport {
     /// Takes in one job that its caller waited for.
-    pub(crate) fn count(&mut self, scale: &Scale<'_>, record: &JobRecord, seen: &Seen) {
-        let Some(queue) = scale.queue(record) else {
+    pub(crate) fn add_job(
+        &mut self,
+        model: &ValueModel<'_>,
+        record: &JobRecord,
+        observation: &JobObservation,
+    ) {
+        let Some(queue) = model.queue(record) else {
             return;
         };
-        let size = scale.size(record);
-        let earned = match seen.latency_ms {
-            Some(latency_ms) if latency_ms <= seen.objective_ms => queue.weight,
-            Some(latency_ms) if latency_ms <= seen.objective_ms * LATE_LIMIT => queue.late_weight,
+        let size = model.relative_size(record);
+        let earned = match observation.latency_ms {
+            Some(latency_ms) if latency_ms <= observation.objective_ms => queue.weight,
+            Some(latency_ms) if latency_ms <= observation.objective_ms * LATE_FACTOR => {
+                queue.late_weight
+            }
             _ => 0.0,
         };
         let (owed, earned) = (queue.weight * size, earned * size);
@@ -179,7 +189,7 @@
         let customer = record.customer.as_str().to_owned();
         let of_customer = self.by_customer.entry(customer.clone()).or_default();
         of_customer.add(owed, earned);
-        let cause = (earned < owed).then(|| seen.cause());
+        let cause = (earned < owed).then(|| observation.cause());
         if let Some(cause) = cause {
             *self.lost.entry(cause).or_insert(0.0) += owed - earned;
         }
@@ -189,37 +199,37 @@
             steps: record.steps_summary(),
             owed,
             earned,
-            objective_ms: seen.objective_ms,
-            first_start_ms: seen.first_start_ms,
-            latency_ms: seen.latency_ms,
-            stopped: seen.tally.stopped,
+            objective_ms: observation.objective_ms,
+            first_start_ms: observation.first_start_ms,
+            latency_ms: observation.latency_ms,
+            stopped: observation.counts.stopped,
             cause,
         });
     }
 }
 
-/// `Seen` is what the world saw of one job; spans count from its acceptance.
-pub(crate) struct Seen {
+/// `JobObservation` is what the world saw of one job; spans count from its acceptance.
+pub(crate) struct JobObservation {
     pub(crate) objective_ms: u64,
     /// Duration of its longest chain of steps.
-    pub(crate) chain_ms: u64,
+    pub(crate) critical_path_ms: u64,
     pub(crate) first_start_ms: Option<u64>,
     pub(crate) latency_ms: Option<u64>,
-    pub(crate) tally: Tally,
+    pub(crate) counts: RunCounts,
 }
 
-impl Seen {
+impl JobObservation {
     fn cause(&self) -> ValueLossCause {
         let begins_in_time = self
             .first_start_ms
-            .is_some_and(|at| at + self.chain_ms <= self.objective_ms);
-        if self.tally.failed > 0 {
+            .is_some_and(|at| at + self.critical_path_ms <= self.objective_ms);
+        if self.counts.failed > 0 {
             ValueLossCause::Failed
-        } else if self.tally.lapsed > 0 {
+        } else if self.counts.expired > 0 {
             ValueLossCause::Lapsed
         } else if !begins_in_time {
             ValueLossCause::Waited
-        } else if self.tally.stopped > 0 {
+        } else if self.counts.stopped > 0 {
             ValueLossCause::Displaced
         } else {
             ValueLossCause::Slow
@@ -227,7 +237,7 @@
     }
 }
 
-fn work(record: &JobRecord) -> f64 {
+fn job_work(record: &JobRecord) -> f64 {
     record.steps.iter().map(step_work).sum()
 }
 
--- a/ragwortwick-emulator/src/worker.rs
+++ b/ragwortwick-emulator/src/worker.rs
@@ -1,4 +1,4 @@
-//! A worker: runs tasks under a lease, by the platform's published rules.
+//! A simulated worker: runs tasks under a lease, by the platform's published rules.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,48 +9,48 @@
 };
 use ragwortwick_core::{DurationMs, TimeMs, WorkerName};
 
-use crate::arrivals::{as_float, whole};
+use crate::arrivals::{as_float, truncate};
 
-/// `Attempt` is one run in progress.
+/// `ActiveRun` is one run in progress.
 #[derive(Clone, Debug)]
-pub(crate) struct Attempt {
+pub(crate) struct ActiveRun {
     pub(crate) run: u32,
     pub(crate) need: Resources,
     pub(crate) started_at: TimeMs,
-    /// Its work at normal speed, and how much of that was done before the present span.
+    /// Total work at normal speed, and the part of it done before the current span.
     pub(crate) work_ms: DurationMs,
-    pub(crate) brought_ms: DurationMs,
-    /// How many times as long as at normal speed it takes.
-    pub(crate) factor: f64,
-    /// When the work began or went on, and when it is done; none while it stands still.
+    pub(crate) done_before_ms: DurationMs,
+    /// Factor by which the run takes longer than at normal speed.
+    pub(crate) slowdown: f64,
+    /// When the work started or resumed, and when it will be done; none while it is paused.
     pub(crate) span: Option<(TimeMs, TimeMs)>,
     pub(crate) will_fail: bool,
-    pub(crate) saves: bool,
+    pub(crate) saves_checkpoints: bool,
 }
 
-impl Attempt {
-    /// Lets the work begin; it takes `factor` times as long as at normal speed.
-    pub(crate) fn begin(&mut self, now: TimeMs, factor: f64, restore_ms: DurationMs) {
-        let rest = as_float(self.work_ms.0.saturating_sub(self.brought_ms.0)) * factor;
-        let restore_ms = if self.brought_ms.0 > 0 {
+impl ActiveRun {
+    /// Starts the work, which takes `slowdown` times as long as at normal speed.
+    pub(crate) fn start_work(&mut self, now: TimeMs, slowdown: f64, restore_ms: DurationMs) {
+        let rest = as_float(self.work_ms.0.saturating_sub(self.done_before_ms.0)) * slowdown;
+        let restore_ms = if self.done_before_ms.0 > 0 {
             restore_ms.0
         } else {
             0
         };
-        self.factor = factor;
-        self.span = Some((now, now + DurationMs(whole(rest) + restore_ms)));
+        self.slowdown = slowdown;
+        self.span = Some((now, now + DurationMs(truncate(rest) + restore_ms)));
     }
 
-    /// Lets the work stand still.
+    /// Pauses the work.
     pub(crate) fn pause(&mut self, now: TimeMs) {
-        self.brought_ms = DurationMs(self.done_ms(now));
+        self.done_before_ms = DurationMs(self.done_ms(now));
         self.span = None;
     }
 
-    /// Lets work that stood still go on.
-    pub(crate) fn go_on(&mut self, now: TimeMs) {
-        if self.span.is_none() && self.factor > 0.0 {
-            self.begin(now, self.factor, DurationMs(0));
+    /// Resumes paused work.
+    pub(crate) fn resume(&mut self, now: TimeMs) {
+        if self.span.is_none() && self.slowdown > 0.0 {
+            self.start_work(now, self.slowdown, DurationMs(0));
         }
     }
 
@@ -58,137 +58,142 @@
         self.span.is_some_and(|(_, ends)| now >= ends)
     }
 
-    /// Work that is done, at normal speed.
+    /// Returns the work done so far, as its duration at normal speed.
     fn done_ms(&self, now: TimeMs) -> u64 {
         let Some((began, ends)) = self.span else {
-            return self.brought_ms.0;
+            return self.done_before_ms.0;
         };
         let span = ends.since(began).0.max(1);
-        let rest = self.work_ms.0.saturating_sub(self.brought_ms.0);
-        self.brought_ms.0 + rest * now.since(began).0.min(span) / span
+        let rest = self.work_ms.0.saturating_sub(self.done_before_ms.0);
+        self.done_before_ms.0 + rest * now.since(began).0.min(span) / span
     }
 
-    /// Time spent on work that a run which ends now leaves unsaved.
-    pub(crate) fn unsaved_ms(&self, now: TimeMs, kind: EndKind, saving: &Saving) -> u64 {
+    /// Returns the time spent on work that is lost if the run ends now.
+    pub(crate) fn unsaved_ms(
+        &self,
+        now: TimeMs,
+        kind: EndKind,
+        checkpoint_policy: &CheckpointPolicy,
+    ) -> u64 {
         let spent_ms = now.since(self.started_at).0;
-        if !self.saves {
+        if !self.saves_checkpoints {
             spent_ms
-        } else if saving.is_restored && kind == EndKind::Stopped {
+        } else if checkpoint_policy.is_restored && kind == EndKind::Stopped {
             0
         } else {
-            spent_ms.min(saving.every_ms.0)
+            spent_ms.min(checkpoint_policy.interval_ms.0)
         }
     }
 }
 
-/// `Saving` tells how the worker saves and restores progress.
+/// `CheckpointPolicy` states how often workers save checkpoints and what restoring one costs.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Saving {
-    /// Whether a start from a checkpoint leaves out what was saved.
+pub(crate) struct CheckpointPolicy {
+    /// Whether a start from a checkpoint skips the work that was saved.
     pub(crate) is_restored: bool,
     /// Work between two checkpoints.
-    pub(crate) every_ms: DurationMs,
-    /// Time that resuming takes.
+    pub(crate) interval_ms: DurationMs,
+    /// Time to resume from a checkpoint.
     pub(crate) restore_ms: DurationMs,
 }
 
-impl Saving {
+impl CheckpointPolicy {
     fn last_saved_ms(&self, done_ms: u64) -> u64 {
-        done_ms - done_ms % self.every_ms.0.max(1)
+        done_ms - done_ms % self.interval_ms.0.max(1)
     }
 }
 
-/// `EmuWorker` is one worker with its present life.
+/// `SimWorker` is one worker in its current incarnation.
 #[derive(Clone, Debug)]
-pub(crate) struct EmuWorker {
+pub(crate) struct SimWorker {
     pub(crate) name: WorkerName,
-    pub(crate) life: u32,
+    pub(crate) incarnation: u32,
     pub(crate) rack: String,
     pub(crate) label: &'static str,
     pub(crate) capacity: Resources,
-    /// When it shrank; none while it is whole.
+    /// When its capacity shrank; none while it has its full capacity.
     pub(crate) shrunk_at: Option<TimeMs>,
-    /// The worker's clock is the world's plus this, and a little slow.
+    /// Offset of the worker's clock from the simulation's clock; it also runs slightly slow.
     clock_offset_ms: u64,
-    pub(crate) presence: Presence,
+    pub(crate) reachability: Reachability,
     pub(crate) draining_since: Option<TimeMs>,
     pub(crate) leaves_at: Option<TimeMs>,
-    pub(crate) slowness: u32,
+    pub(crate) fault_slowdown: u32,
     pub(crate) speed_percent: u32,
-    pub(crate) saving: Saving,
+    pub(crate) checkpoint_policy: CheckpointPolicy,
     pub(crate) is_failing: bool,
     pub(crate) is_hung: bool,
-    pub(crate) token: u64,
-    /// When the lease of everything ends, on the worker's clock.
+    pub(crate) fencing_token: u64,
+    /// When the lease of all runs expires, on the worker's clock.
     lease_until: u64,
-    /// Ends up to this number were listed when the lease ran out and killed what ran; by the platform's
-    /// rules they don't count as known any more, whoever hears of them later.
-    lapsed_to: u64,
-    pub(crate) running: BTreeMap<TaskId, Attempt>,
-    /// Highest run that ended or was stopped, by task.
-    over: BTreeMap<TaskId, u32>,
+    /// Run ends up to this number were listed when the lease expired and killed all runs. By the platform's
+    /// rules, a later acknowledgement of them has no effect.
+    expired_through: u64,
+    pub(crate) running: BTreeMap<TaskId, ActiveRun>,
+    /// Highest run number that ended or was stopped, by task.
+    highest_ended_run: BTreeMap<TaskId, u32>,
     pub(crate) ended: Vec<EndedTask>,
     next_end: u64,
-    pub(crate) waiting_look: Option<WaitingLook>,
+    pub(crate) pending_poll: Option<PendingPoll>,
 }
 
-/// `Presence` is what a worker's address does with calls.
+/// `Reachability` states how a worker's address responds to requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Presence {
-    /// The worker answers.
+pub(crate) enum Reachability {
+    /// The worker responds.
     Up,
-    /// Its process has ended, and its machine refuses connections.
+    /// The process has exited, and its machine refuses connections.
     Refusing,
-    /// Nothing answers.
+    /// Requests time out.
     Silent,
 }
 
-/// `WaitingLook` is a look that waits for an end.
+/// `PendingPoll` is a long poll that waits for a run to end.
 #[derive(Clone, Debug)]
-pub(crate) struct WaitingLook {
+pub(crate) struct PendingPoll {
     pub(crate) host: usize,
     pub(crate) term: u64,
     pub(crate) sent_at: TimeMs,
     pub(crate) until: TimeMs,
 }
 
-impl EmuWorker {
+impl SimWorker {
     pub(crate) fn new(
         number: u64,
         rack: u32,
         label: &'static str,
         capacity: Resources,
         speed_percent: u32,
-        saving: Saving,
+        checkpoint_policy: CheckpointPolicy,
     ) -> Self {
         Self {
             name: WorkerName::new(format!("w{number}-0")),
-            life: 0,
+            incarnation: 0,
             rack: format!("r{rack}"),
             label,
             capacity,
             shrunk_at: None,
             clock_offset_ms: 100_000 * (number + 1),
-            presence: Presence::Up,
+            reachability: Reachability::Up,
             draining_since: None,
             leaves_at: None,
-            slowness: 1,
+            fault_slowdown: 1,
             speed_percent,
-            saving,
+            checkpoint_policy,
             is_failing: false,
             is_hung: false,
-            token: 0,
+            fencing_token: 0,
             lease_until: 0,
-            lapsed_to: 0,
+            expired_through: 0,
             running: BTreeMap::new(),
-            over: BTreeMap::new(),
+            highest_ended_run: BTreeMap::new(),
             ended: Vec::new(),
             next_end: 1,
-            waiting_look: None,
+            pending_poll: None,
         }
     }
 
-    /// The clock runs one per cent slow.
+    /// Returns the time of the worker's clock, which runs one per cent slow.
     pub(crate) fn clock(&self, now: TimeMs) -> u64 {
         self.clock_offset_ms + now.0 * 99 / 100
     }
@@ -209,14 +214,14 @@
     }
 
     pub(crate) fn is_up(&self) -> bool {
-        self.presence == Presence::Up
+        self.reachability == Reachability::Up
     }
 
-    pub(crate) fn come_back(&mut self) {
-        self.presence = Presence::Up;
+    pub(crate) fn restore(&mut self) {
+        self.reachability = Reachability::Up;
     }
 
-    /// A crash: another life begins, which knows nothing.
+    /// Replaces the worker by a new incarnation that has no state.
     pub(crate) fn restart(&mut self) {
         let number = self
             .name
@@ -225,78 +230,86 @@
             .next()
             .unwrap_or("w")
             .to_owned();
-        self.life += 1;
-        self.name = WorkerName::new(format!("{number}-{}", self.life));
-        self.token = 0;
+        self.incarnation += 1;
+        self.name = WorkerName::new(format!("{number}-{}", self.incarnation));
+        self.fencing_token = 0;
         self.lease_until = 0;
-        self.lapsed_to = 0;
+        self.expired_through = 0;
         self.running.clear();
-        self.over.clear();
+        self.highest_ended_run.clear();
         self.ended.clear();
         self.next_end = 1;
-        self.waiting_look = None;
+        self.pending_poll = None;
     }
 
-    /// Whether an end had been listed when the lease ran out.
-    pub(crate) fn is_lapsed(&self, end: &EndedTask) -> bool {
-        end.sequence <= self.lapsed_to
+    /// Whether a run end was already listed when the lease expired.
+    pub(crate) fn is_expired(&self, end: &EndedTask) -> bool {
+        end.sequence <= self.expired_through
     }
 
-    /// The lease has run out and kills everything.
-    pub(crate) fn lapse(&mut self, now: TimeMs) -> Vec<TaskId> {
-        if !self.is_lease_over(now) {
+    /// Returns the runs to kill if the lease has expired.
+    pub(crate) fn expire_lease(&mut self, now: TimeMs) -> Vec<TaskId> {
+        if !self.is_lease_expired(now) {
             return Vec::new();
         }
-        self.lapsed_to = self.next_end - 1;
+        self.expired_through = self.next_end - 1;
         self.running.keys().cloned().collect()
     }
 
-    fn grant(&mut self, now: TimeMs, until: u64, lease_ms: DurationMs) {
-        let most = self.clock(now) + lease_ms.0;
-        self.lease_until = self.lease_until.max(until.min(most));
+    fn extend_lease(&mut self, now: TimeMs, until: u64, lease_ms: DurationMs) {
+        let latest = self.clock(now) + lease_ms.0;
+        self.lease_until = self.lease_until.max(until.min(latest));
     }
 
-    /// Whether the lease has run out with something running.
-    fn is_lease_over(&self, now: TimeMs) -> bool {
+    /// Whether the lease has expired while something is running.
+    fn is_lease_expired(&self, now: TimeMs) -> bool {
         !self.running.is_empty() && self.clock(now) >= self.lease_until
     }
 
-    /// Checks an order to start; `Ok(true)` begins a new run.
-    pub(crate) fn admit(
+    /// Checks a start order; `Ok(true)` starts a new run, `Ok(false)` confirms one that is active.
+    pub(crate) fn admit_start(
         &mut self,
         now: TimeMs,
-        token: u64,
+        fencing_token: u64,
         task: &TaskId,
         run: u32,
         until: u64,
         lease_ms: DurationMs,
     ) -> Result<bool, RefusalCause> {
-        if token < self.token {
+        if fencing_token < self.fencing_token {
             return Err(RefusalCause::Fenced);
         }
-        self.token = token;
+        self.fencing_token = fencing_token;
         if until <= self.clock(now) {
             return Err(RefusalCause::LeaseOver);
         }
-        self.grant(now, until, lease_ms);
-        if self.running.get(task).is_some_and(|held| held.run == run) {
+        self.extend_lease(now, until, lease_ms);
+        if self
+            .running
+            .get(task)
+            .is_some_and(|active| active.run == run)
+        {
             return Ok(false);
         }
-        if self.over.get(task).is_some_and(|&over| run <= over) {
+        if self
+            .highest_ended_run
+            .get(task)
+            .is_some_and(|&ended| run <= ended)
+        {
             return Err(RefusalCause::StaleRun);
         }
         Ok(true)
     }
 
-    /// Ends a run and lists it.
-    pub(crate) fn end(&mut self, now: TimeMs, task: &TaskId, kind: EndKind) -> Option<Attempt> {
+    /// Ends a run and adds it to the list of run ends.
+    pub(crate) fn end(&mut self, now: TimeMs, task: &TaskId, kind: EndKind) -> Option<ActiveRun> {
         let run = self.running.remove(task)?;
-        let over = self.over.entry(task.clone()).or_insert(0);
-        *over = (*over).max(run.run);
+        let highest = self.highest_ended_run.entry(task.clone()).or_insert(0);
+        *highest = (*highest).max(run.run);
         let saved_ms = if kind == EndKind::Stopped {
             run.done_ms(now)
         } else {
-            self.saving.last_saved_ms(run.done_ms(now))
+            self.checkpoint_policy.last_saved_ms(run.done_ms(now))
         };
         self.ended.push(EndedTask {
             sequence: self.next_end,
@@ -309,43 +322,49 @@
         Some(run)
     }
 
-    /// An order to stop; a run that is not there yet is refused from then on.
-    pub(crate) fn stop(&mut self, now: TimeMs, token: u64, task: &TaskId, run: u32) -> OrderReply {
-        if token < self.token {
+    /// Handles a stop order; a later start of this or an earlier run is refused as stale.
+    pub(crate) fn stop(
+        &mut self,
+        now: TimeMs,
+        fencing_token: u64,
+        task: &TaskId,
+        run: u32,
+    ) -> OrderReply {
+        if fencing_token < self.fencing_token {
             return OrderReply::Refused(RefusalCause::Fenced);
         }
-        self.token = token;
-        let over = self.over.entry(task.clone()).or_insert(0);
-        *over = (*over).max(run);
+        self.fencing_token = fencing_token;
+        let highest = self.highest_ended_run.entry(task.clone()).or_insert(0);
+        *highest = (*highest).max(run);
         OrderReply::Accepted {
             clock_ms: self.clock(now),
         }
     }
 
-    /// A look: renews, forgets known ends, and tells.
-    pub(crate) fn look(
+    /// Handles a poll: renews the lease, and removes and returns the acknowledged run ends.
+    pub(crate) fn poll(
         &mut self,
         now: TimeMs,
-        token: u64,
+        fencing_token: u64,
         until: Option<u64>,
         noted: u64,
         lease_ms: DurationMs,
     ) -> Result<Vec<EndedTask>, RefusalCause> {
-        if token < self.token {
+        if fencing_token < self.fencing_token {
             return Err(RefusalCause::Fenced);
         }
-        self.token = token;
+        self.fencing_token = fencing_token;
         if let Some(until) = until {
-            self.grant(now, until, lease_ms);
+            self.extend_lease(now, until, lease_ms);
         }
-        let (forgotten, kept) = std::mem::take(&mut self.ended)
+        let (acked, kept) = std::mem::take(&mut self.ended)
             .into_iter()
             .partition(|end| end.sequence <= noted);
         self.ended = kept;
-        Ok(forgotten)
+        Ok(acked)
     }
 
-    pub(crate) fn told(&self, now: TimeMs) -> WorkerReport {
+    pub(crate) fn report(&self, now: TimeMs) -> WorkerReport {
         WorkerReport {
             clock_ms: self.clock(now),
             running: self
@@ -354,7 +373,11 @@
                 .map(|(task, run)| RunningTask {
                     task: task.clone(),
                     run: run.run,
-                    checkpoint: checkpoint(task, run, self.saving.last_saved_ms(run.done_ms(now))),
+                    checkpoint: checkpoint(
+                        task,
+                        run,
+                        self.checkpoint_policy.last_saved_ms(run.done_ms(now)),
+                    ),
                     percent: percent(run, now),
                     load: 0,
                 })
@@ -363,9 +386,9 @@
         }
     }
 
-    /// How many times as long as at normal speed work takes here.
-    pub(crate) fn factor(&self) -> f64 {
-        f64::from(self.slowness) * 100.0 / f64::from(self.speed_percent.max(1))
+    /// Returns the factor by which work takes longer here than at normal speed.
+    pub(crate) fn slowdown(&self) -> f64 {
+        f64::from(self.fault_slowdown) * 100.0 / f64::from(self.speed_percent.max(1))
     }
 
     pub(crate) fn used(&self) -> Resources {
@@ -375,9 +398,9 @@
     }
 }
 
-/// A checkpoint names its step, so that a foreign one is noticed, and the work that it saves.
-fn checkpoint(task: &TaskId, run: &Attempt, saved_ms: u64) -> Arc<str> {
-    if !run.saves || saved_ms == 0 {
+/// Formats a checkpoint: its step, so that one of another step is detected, and the work it saves.
+fn checkpoint(task: &TaskId, run: &ActiveRun, saved_ms: u64) -> Arc<str> {
+    if !run.saves_checkpoints || saved_ms == 0 {
         return "".into();
     }
     format!(
@@ -387,13 +410,13 @@
     .into()
 }
 
-/// The step that a checkpoint names, and the work that it saves.
+/// Parses a checkpoint into its step and the work it saves.
 pub(crate) fn read_checkpoint(text: &str) -> (&str, DurationMs) {
     let (step, saved) = text.split_once('/').unwrap_or((text, ""));
     (step, DurationMs(saved.parse().unwrap_or(0)))
 }
 
-fn percent(run: &Attempt, now: TimeMs) -> u32 {
+fn percent(run: &ActiveRun, now: TimeMs) -> u32 {
     let percent = run.done_ms(now) * 100 / run.work_ms.0.max(1);
     u32::try_from(percent).unwrap_or(100)
 }
