--- a/ragwortwick-area/tests/capacity.rs
+++ b/ragwortwick-area/tests/capacity.rs
@@ -91,8 +91,8 @@
     let first = rig.start_all();
     rig.poll_reply("w1", vec![], vec![ended(1, &first[0], EndKind::Failed)]);
     rig.advance(20);
-    let late = (first[0].0.clone(), first[0].1.clone(), 7);
-    rig.poll_reply("w1", vec![running(&late)], vec![]);
+    let untracked = (first[0].0.clone(), first[0].1.clone(), 7);
+    rig.poll_reply("w1", vec![running(&untracked)], vec![]);
     rig.store_batches();
     assert_eq!(
         rig.starts(),
--- a/ragwortwick-area/tests/guarantees.rs
+++ b/ragwortwick-area/tests/guarantees.rs
@@ -38,12 +38,12 @@
         });
         ends.push(ended(number, stop, EndKind::Stopped));
     }
-    let still: Vec<_> = patient
+    let still_running: Vec<_> = patient
         .iter()
         .filter(|start| start.0 == worker_name && !stops.contains(start))
         .map(rig::running)
         .collect();
-    rig.poll_reply(worker_name.as_str(), still, ends);
+    rig.poll_reply(worker_name.as_str(), still_running, ends);
     rig.advance(30);
     rig.store_batches();
     let starts = rig.starts();
--- a/ragwortwick-area/tests/headroom.rs
+++ b/ragwortwick-area/tests/headroom.rs
@@ -77,12 +77,12 @@
     assert_eq!(rig.start_all().len(), 2);
     for id in ["00000000000000e1", "00000000000000e2"] {
         let record = job(id, "elsewhere", vec![step(16, 1)]);
-        let terms = QueuePolicy {
+        let policy = QueuePolicy {
             pool: "other".into(),
             ..record.policy.clone()
         };
         let record = JobRecord {
-            policy: terms,
+            policy,
             ..(*record).clone()
         };
         rig.send(Event::JobAccepted(Arc::new(record)));
