--- a/ragwortwick-daemon/src/area/desired_state_feed.rs
+++ b/ragwortwick-daemon/src/area/desired_state_feed.rs
@@ -1,5 +1,5 @@
-//! Keeps the desired state in force: read at start and after each gap, then watched; a version
-//! never goes back.
+//! Keeps the desired state up to date: reads it at the start and after each gap, then watches it.
+//! An older version never replaces a newer one.
 
 use std::sync::Arc;
 
@@ -16,14 +16,14 @@
 use super::store_health::StoreHealth;
 use crate::Clock;
 
-/// Longest wait of one watch: an accepted version has to be in force two seconds later, also if a
-/// connection went silent meanwhile.
+/// Longest wait of one watch. An accepted version has to be in force within two seconds, even if a
+/// connection became unresponsive meanwhile.
 const WATCH_WAIT_MS: DurationMs = DurationMs(1_000);
 
-/// Pause after a failed call.
-const FAILED_PAUSE_MS: DurationMs = DurationMs(150);
+/// Delay after a failed call.
+const FAILURE_DELAY_MS: DurationMs = DurationMs(150);
 
-/// `DesiredStateFeed` runs the watch.
+/// `DesiredStateFeed` reads and watches the desired state.
 #[derive(Debug)]
 pub(super) struct DesiredStateFeed {
     pub(super) store: StoreClient,
@@ -34,9 +34,9 @@
     pub(super) metrics: AreaMetrics,
 }
 
-/// `Answer` is what a call brought.
-struct Answer {
-    /// Where the next watch begins.
+/// `FeedReply` is the result of a read or a watch.
+struct FeedReply {
+    /// Revision after which the next watch begins.
     as_of: Revision,
     entries: usize,
 }
@@ -44,7 +44,7 @@
 impl DesiredStateFeed {
     /// Runs until the process ends.
     pub(super) async fn run(self) {
-        let mut log = FeedMonitor::open("desired", self.clock, &self.metrics);
+        let mut monitor = FeedMonitor::open("desired", self.clock, &self.metrics);
         let mut position: Option<Revision> = None;
         loop {
             let result = match position {
@@ -52,54 +52,54 @@
                 Some(after) => self.watch(after).await,
             };
             match result {
-                Ok(answer) => {
-                    log.record_answer(answer.entries);
+                Ok(reply) => {
+                    monitor.record_reply(reply.entries);
                     self.age.confirm(self.clock.now());
-                    position = Some(answer.as_of);
+                    position = Some(reply.as_of);
                 }
                 Err(error) => {
-                    log.record_failure(&error);
-                    // The changes of a gap hold every version that it missed, and may be more than
-                    // the path carries before the call ends, the next time more still. The newest
-                    // version alone is always of one size.
+                    monitor.record_failure(&error);
+                    // Read the newest version instead of the missed changes. The changes contain every
+                    // missed version, so on a slow link their transfer can exceed the call's timeout,
+                    // and each retry asks for more. A single version doesn't grow with the gap.
                     position = None;
                     if !error.is_relist_required() {
-                        tokio::time::sleep(FAILED_PAUSE_MS.into()).await;
+                        tokio::time::sleep(FAILURE_DELAY_MS.into()).await;
                     }
                 }
             }
         }
     }
 
-    async fn read(&self) -> Result<Answer, StoreError> {
+    async fn read(&self) -> Result<FeedReply, StoreError> {
         let page = self.store.list_page(DESIRED_KEY, None).await;
         self.health.record(&page);
         let page = page?;
         for item in &page.items {
-            self.take(item);
+            self.apply(item);
         }
-        Ok(Answer {
+        Ok(FeedReply {
             as_of: page.as_of,
             entries: page.items.len(),
         })
     }
 
-    async fn watch(&self, after: Revision) -> Result<Answer, StoreError> {
+    async fn watch(&self, after: Revision) -> Result<FeedReply, StoreError> {
         let reply = self.store.watch(DESIRED_KEY, after, WATCH_WAIT_MS).await;
         self.health.record(&reply);
         let reply = reply?;
-        for change in &reply.events {
-            if let WatchEvent::Written(item) = change {
-                self.take(item);
+        for event in &reply.events {
+            if let WatchEvent::Written(item) = event {
+                self.apply(item);
             }
         }
-        Ok(Answer {
+        Ok(FeedReply {
             as_of: reply.as_of,
             entries: reply.events.len(),
         })
     }
 
-    fn take(&self, item: &KeyValue) {
+    fn apply(&self, item: &KeyValue) {
         if item.key != DESIRED_KEY {
             return;
         }
@@ -118,17 +118,19 @@
 
     fn put_in_force(&self, state: DesiredState, revision: Revision) {
         let version = state.version;
-        let is_new = self.desired.send_if_modified(|known| {
-            // Pages and watches may overlap; an older version must never come back.
-            let is_new = known.as_ref().is_none_or(|known| known.version < version);
+        let is_new = self.desired.send_if_modified(|current| {
+            // Reads and watches may overlap; an older version must never replace a newer one.
+            let is_new = current
+                .as_ref()
+                .is_none_or(|current| current.version < version);
             if is_new {
-                *known = Some(Arc::new(state));
+                *current = Some(Arc::new(state));
             }
             is_new
         });
         if is_new {
-            let version_shown = i64::try_from(version).unwrap_or(i64::MAX);
-            self.metrics.desired_version.set(version_shown);
+            let metric_version = i64::try_from(version).unwrap_or(i64::MAX);
+            self.metrics.desired_version.set(metric_version);
             log_event!(
                 Info,
                 "desired_state_in_force",
--- a/ragwortwick-daemon/src/area/feed_monitor.rs
+++ b/ragwortwick-daemon/src/area/feed_monitor.rs
@@ -1,4 +1,4 @@
-//! Tells in logs and metrics when a reader of the store is behind, and how it caught up.
+//! Logs and counts when a change feed of the store falls behind, and when it has caught up.
 
 use prometheus::IntCounter;
 use ragwortwick_adapter::StoreError;
@@ -7,12 +7,12 @@
 use super::metrics::AreaMetrics;
 use crate::Clock;
 
-/// `FeedMonitor` follows one reader from answer to answer; a gap makes two lines, however long it is.
+/// `FeedMonitor` logs one line at the start and one at the end of a feed's gap, however long it is.
 #[derive(Debug)]
 pub(super) struct FeedMonitor {
     feed: &'static str,
     clock: Clock,
-    answered_at: TimeMs,
+    replied_at: TimeMs,
     failures: u64,
     failed_calls: IntCounter,
 }
@@ -22,13 +22,13 @@
         Self {
             feed,
             clock,
-            answered_at: clock.now(),
+            replied_at: clock.now(),
             failures: 0,
             failed_calls: metrics.feed_failures.with_label_values(&[feed]),
         }
     }
 
-    /// Notes a call without a usable answer.
+    /// Records a call without a usable reply.
     pub(super) fn record_failure(&mut self, cause: &StoreError) {
         self.failed_calls.inc();
         self.failures += 1;
@@ -37,20 +37,20 @@
         }
     }
 
-    /// Notes an answer and how many changes or items it held.
-    pub(super) fn record_answer(&mut self, entries: usize) {
+    /// Records a reply and the number of changes or items in it.
+    pub(super) fn record_reply(&mut self, entries: usize) {
         let now = self.clock.now();
         if self.failures > 0 {
             log_event!(
                 Info,
                 "feed_caught_up",
                 feed = self.feed,
-                gap_ms = now.since(self.answered_at),
+                gap_ms = now.since(self.replied_at),
                 failures = self.failures,
                 entries = entries
             );
         }
         self.failures = 0;
-        self.answered_at = now;
+        self.replied_at = now;
     }
 }
--- a/ragwortwick-daemon/src/area/keys.rs
+++ b/ragwortwick-daemon/src/area/keys.rs
@@ -1,35 +1,35 @@
-//! Keys of our own in the platform's store.
+//! Keys of this system in the platform's store.
 
 use ragwortwick_core::JobId;
 
-/// Prefix of what every host has to know, so that one watch sees it all.
+/// Prefix of the keys that every host replicates, all with one watch.
 pub(super) const REPLICATED_PREFIX: &str = "ragwortwick/";
 
-/// Prefix of the jobs' keys that every host has to know.
+/// Prefix of the job keys that every host replicates.
 const JOBS_PREFIX: &str = "ragwortwick/jobs/";
 
-/// Prefix of the jobs' progress. It changes with each run and grows with a job's tasks, and only a
-/// coordinator needs it: a watch that brought it would keep hosts on narrow links seconds behind.
+/// Prefix of job progress. Progress changes with each run and grows with the job's tasks, and only a
+/// coordinator needs it: a watch that included it would lag by seconds on hosts with slow links.
 pub(super) const PROGRESS_PREFIX: &str = "ragwortwick-progress/";
 
-/// Key of the coordinator, under its lease; its revision is the term's fencing token.
+/// Key of the coordinator, bound to its lease; the key's revision is the term's fencing token.
 pub(super) const COORDINATOR_KEY: &str = "ragwortwick/coordinator";
 
-/// `JobKeyKind` is which part of a job's state a key holds.
+/// `JobKeyKind` is the part of a job's state that a key holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum JobKeyKind {
-    /// The job as accepted; written once by the host that accepted it.
+    /// The accepted job; written once, by the host that accepted it.
     Record,
-    /// What callers see of it; written by the coordinator alone, with the progress.
+    /// The phase reported to clients; written only by the coordinator, together with the progress.
     Phase,
-    /// A caller's wish to cancel it; written by the host that took the call.
+    /// A client's cancel request; written by the host that received it.
     Cancel,
-    /// Ends that a coordinator heard and could not store; written by it after its term.
+    /// Completions that a coordinator received but could not store; written by it after its term.
     HandedOverCompletions,
 }
 
 impl JobKeyKind {
-    /// All parts.
+    /// All kinds.
     pub(super) const ALL: [Self; 4] = [
         Self::Record,
         Self::Phase,
@@ -46,16 +46,16 @@
         }
     }
 
-    /// The key of a job's part.
+    /// The key of this part of a job.
     pub(super) fn key_of(self, job_id: &JobId) -> String {
         format!("{JOBS_PREFIX}{job_id}/{}", self.suffix())
     }
 
-    /// Reads a key back.
+    /// Parses a job key.
     pub(super) fn parse(key: &str) -> Option<(JobId, Self)> {
         let (job_id, suffix) = key.strip_prefix(JOBS_PREFIX)?.split_once('/')?;
-        let part = Self::ALL.into_iter().find(|part| part.suffix() == suffix)?;
-        Some((JobId::new(job_id), part))
+        let kind = Self::ALL.into_iter().find(|kind| kind.suffix() == suffix)?;
+        Some((JobId::new(job_id), kind))
     }
 }
 
@@ -64,7 +64,7 @@
     format!("{PROGRESS_PREFIX}{job_id}")
 }
 
-/// Reads the key of a job's progress back.
+/// Parses the key of a job's progress.
 pub(super) fn parse_progress_key(key: &str) -> Option<JobId> {
     key.strip_prefix(PROGRESS_PREFIX).map(JobId::new)
 }
--- a/ragwortwick-daemon/src/area/log_rate_limiter.rs
+++ b/ragwortwick-daemon/src/area/log_rate_limiter.rs
@@ -1,16 +1,15 @@
-//! Bounds how many lines a second one kind of event may write.
+//! Limits the log lines per second of one kind of event.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
 use ragwortwick_core::{DurationMs, TimeMs, log_event};
 
-/// Lines a second of one kind: what ordinary days write, and little processor time on a small host.
-const LINES_PER_S: u32 = 60;
+/// Lines per second of one kind: enough for normal load, and little CPU time on a small host.
+const MAX_LINES_PER_S: u32 = 60;
 
-/// Length of a window.
 const WINDOW_MS: DurationMs = DurationMs(1_000);
 
-/// `LogRateLimiter` admits lines of one kind; clones share it.
+/// `LogRateLimiter` limits the lines of one kind of event; clones share it.
 #[derive(Clone, Debug)]
 pub(super) struct LogRateLimiter {
     kind: &'static str,
@@ -19,9 +18,9 @@
 
 #[derive(Debug, Default)]
 struct Window {
-    began_at: TimeMs,
+    started_at: TimeMs,
     written: u32,
-    left_out: u32,
+    skipped: u32,
 }
 
 impl LogRateLimiter {
@@ -32,28 +31,28 @@
         }
     }
 
-    /// Whether a line may be written now; what is left out is counted in a line of its own.
+    /// Whether a line may be written now; the lines left out of a window are logged as a count.
     pub(super) fn admit(&self, now: TimeMs) -> bool {
         let mut window = self.window.lock().unwrap_or_else(PoisonError::into_inner);
-        if now.since(window.began_at) >= WINDOW_MS {
-            if window.left_out > 0 {
+        if now.since(window.started_at) >= WINDOW_MS {
+            if window.skipped > 0 {
                 log_event!(
                     Info,
                     "log_lines_left_out",
                     kind = self.kind,
-                    count = window.left_out
+                    count = window.skipped
                 );
             }
             *window = Window {
-                began_at: now,
+                started_at: now,
                 ..Window::default()
             };
         }
-        if window.written < LINES_PER_S {
+        if window.written < MAX_LINES_PER_S {
             window.written += 1;
             true
         } else {
-            window.left_out += 1;
+            window.skipped += 1;
             false
         }
     }
--- a/ragwortwick-daemon/src/area/mod.rs
+++ b/ragwortwick-daemon/src/area/mod.rs
@@ -1,4 +1,4 @@
-//! An entry host of an area: callers' jobs, their records in the store, and the coordinator's duty.
+//! An entry host of an area: the job API for clients, the job records in the store, and the coordinator.
 
 mod action_dispatcher;
 mod batch_writer;
--- a/ragwortwick-daemon/src/area/replica.rs
+++ b/ragwortwick-daemon/src/area/replica.rs
@@ -1,4 +1,4 @@
-//! This host's copy of all jobs, from which it answers callers.
+//! This host's replica of all jobs, from which it answers clients.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -10,7 +10,7 @@
 use super::keys::{JobKeyKind, parse_progress_key};
 use super::unstored_completions::HandedOverCompletion;
 
-/// `JobView` is one job as this host knows it.
+/// `JobView` is one job in the replica.
 #[derive(Clone, Debug, Default)]
 pub(super) struct JobView {
     pub(super) record: Option<Arc<JobRecord>>,
@@ -22,7 +22,7 @@
 }
 
 impl JobView {
-    /// What callers are told.
+    /// The phase reported to clients.
     pub(super) fn reported_phase(&self) -> JobPhase {
         if self.is_cancelled && !self.phase.is_final() {
             JobPhase::Cancelled
@@ -32,20 +32,20 @@
     }
 }
 
-/// `JobChange` is a change that the coordinator has to learn.
+/// `JobChange` is a change of a job that the coordinator has to process.
 #[derive(Clone, Debug)]
 pub(super) enum JobChange {
     /// A job was accepted.
     Accepted(Arc<JobRecord>),
-    /// A coordinator whose term is over left ends that it could not store.
+    /// A coordinator of an earlier term handed over completions that it could not store.
     CompletionsHandedOver(JobId, Vec<HandedOverCompletion>),
     /// A job was cancelled.
     Cancelled(JobId),
 }
 
 impl JobChange {
-    /// Place among the news of one reading: a coordinator drops what it hears of a job that it
-    /// doesn't know, and would run a cancelled job once its record comes.
+    /// Order among the changes of one read: a coordinator drops a change of a job that it doesn't know, so
+    /// a cancel before the job's record would be lost and the cancelled job would run.
     fn rank(&self) -> u8 {
         match self {
             Self::Accepted(_) => 0,
@@ -55,19 +55,19 @@
     }
 }
 
-/// Progress of jobs as the store has it, with the revision that the next write depends on.
+/// Stored progress by job, with the revision that the next write expects.
 pub(super) type ProgressByJob = HashMap<JobId, (JobProgress, Revision)>;
 
-/// Reads the jobs' progress; what can't be read is logged and left out.
+/// Parses the jobs' progress; values that can't be parsed are logged and skipped.
 pub(super) fn parse_progress(items: &[KeyValue]) -> ProgressByJob {
-    let known = items.iter().filter_map(|item| {
+    let parsed = items.iter().filter_map(|item| {
         let job_id = parse_progress_key(&item.key)?;
-        Some((job_id, (read(item)?, item.revision)))
+        Some((job_id, (parse_json(item)?, item.revision)))
     });
-    known.collect()
+    parsed.collect()
 }
 
-/// `JobReplica` is the shared copy; clones share it.
+/// `JobReplica` holds all jobs known to this host; clones share them.
 #[derive(Clone, Debug, Default)]
 pub(super) struct JobReplica(Arc<Mutex<Jobs>>);
 
@@ -94,7 +94,7 @@
             .cloned()
     }
 
-    /// Counts the accepted jobs of a queue of which nothing has started.
+    /// Counts the accepted jobs of a queue that have not started.
     pub(super) fn count_pending(&self, queue: &ClassName) -> u64 {
         let jobs = self.lock();
         let waiting = jobs.views.values().filter(|view| {
@@ -107,27 +107,27 @@
         waiting.count() as u64
     }
 
-    /// Takes the whole content of the prefix; what is not in it no longer exists. Of each job, the
-    /// news tell its acceptance before its cancel.
+    /// Replaces the content by a list of the whole prefix; jobs that are not in it no longer exist. In the
+    /// returned changes, a job's acceptance precedes its cancel.
     pub(super) fn load(&self, items: &[KeyValue], as_of: Revision) -> Vec<JobChange> {
-        let mut news = Vec::new();
+        let mut changes = Vec::new();
         let mut jobs = self.lock();
-        // What was written after the listing began is newer than the listing.
+        // A job written after the list's revision is newer than the list.
         jobs.views.retain(|_, view| view.record_revision > as_of);
         for item in items {
-            news.extend(jobs.write(item));
+            changes.extend(jobs.apply_write(item));
         }
         jobs.is_loaded = true;
-        // Keys list a job's cancel before its record.
-        news.sort_by_key(JobChange::rank);
-        news
+        // In key order, a job's cancel precedes its record.
+        changes.sort_by_key(JobChange::rank);
+        changes
     }
 
-    /// Takes one change; gives what the coordinator has to learn of it.
-    pub(super) fn apply(&self, change: &WatchEvent) -> Option<JobChange> {
+    /// Applies one watch event; returns the change that the coordinator has to process, if any.
+    pub(super) fn apply(&self, event: &WatchEvent) -> Option<JobChange> {
         let mut jobs = self.lock();
-        match change {
-            WatchEvent::Written(item) => jobs.write(item),
+        match event {
+            WatchEvent::Written(item) => jobs.apply_write(item),
             WatchEvent::Removed { key, .. } => {
                 if let Some((job_id, JobKeyKind::Record)) = JobKeyKind::parse(key) {
                     jobs.views.remove(&job_id);
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Notes a job that this host has just stored, ahead of the watch.
+    /// Inserts a job that this host has just stored, before the watch reports it.
     pub(super) fn insert_accepted(&self, record: &Arc<JobRecord>, revision: Revision) {
         let mut jobs = self.lock();
         let view = jobs.views.entry(record.job_id.clone()).or_default();
@@ -147,48 +147,51 @@
         }
     }
 
-    /// Notes a cancel that this host has just stored, ahead of the watch.
+    /// Marks a job as cancelled that this host has just cancelled, before the watch reports it.
     pub(super) fn mark_cancelled(&self, job_id: &JobId) {
         let mut jobs = self.lock();
         jobs.views.entry(job_id.clone()).or_default().is_cancelled = true;
     }
 
-    /// Ends that were left for the next coordinator.
+    /// Completions that earlier coordinators handed over.
     pub(super) fn handed_over_completions(&self) -> Vec<(JobId, Vec<HandedOverCompletion>)> {
         let jobs = self.lock();
-        let with_ends = jobs
+        let with_completions = jobs
             .views
             .iter()
             .filter(|(_, view)| !view.handed_over_completions.is_empty());
-        with_ends
+        with_completions
             .map(|(job_id, view)| (job_id.clone(), view.handed_over_completions.clone()))
             .collect()
     }
 
-    /// All jobs with the given progress, for a new term of the coordinator.
-    pub(super) fn known_jobs(&self, mut progress: ProgressByJob) -> Vec<(RecoveredJob, Revision)> {
+    /// All jobs with the given progress, for a new term.
+    pub(super) fn recovered_jobs(
+        &self,
+        mut progress: ProgressByJob,
+    ) -> Vec<(RecoveredJob, Revision)> {
         let jobs = self.lock();
         jobs.views
             .iter()
             .filter_map(|(job_id, view)| {
                 let stored = progress.remove(job_id);
                 let (progress, revision) = stored.unzip();
-                let known = RecoveredJob {
+                let job = RecoveredJob {
                     record: Arc::clone(view.record.as_ref()?),
                     progress,
                     is_cancelled: view.is_cancelled,
                 };
-                Some((known, revision.unwrap_or_default()))
+                Some((job, revision.unwrap_or_default()))
             })
             .collect()
     }
 }
 
 impl Jobs {
-    fn write(&mut self, item: &KeyValue) -> Option<JobChange> {
-        let (job_id, part) = JobKeyKind::parse(&item.key)?;
+    fn apply_write(&mut self, item: &KeyValue) -> Option<JobChange> {
+        let (job_id, kind) = JobKeyKind::parse(&item.key)?;
         let view = self.views.entry(job_id.clone()).or_default();
-        match part {
+        match kind {
             JobKeyKind::Record => {
                 if item.revision < view.record_revision {
                     return None;
@@ -196,11 +199,11 @@
                 if let Some(record) = &view.record
                     && item.revision == view.record_revision
                 {
-                    // This host stored or read it ahead of the watch; a coordinator here has not
-                    // been told yet.
+                    // This host stored or read the job before the watch reported it. A coordinator on
+                    // this host has not received it yet.
                     return Some(JobChange::Accepted(Arc::clone(record)));
                 }
-                let record = read::<JobRecord>(item)?;
+                let record = parse_json::<JobRecord>(item)?;
                 let record = Arc::new(record);
                 view.record = Some(Arc::clone(&record));
                 view.record_revision = item.revision;
@@ -208,13 +211,13 @@
             }
             JobKeyKind::Phase => {
                 if item.revision > view.phase_revision {
-                    view.phase = read(item)?;
+                    view.phase = parse_json(item)?;
                     view.phase_revision = item.revision;
                 }
                 None
             }
             JobKeyKind::HandedOverCompletions => {
-                view.handed_over_completions = read(item)?;
+                view.handed_over_completions = parse_json(item)?;
                 Some(JobChange::CompletionsHandedOver(
                     job_id,
                     view.handed_over_completions.clone(),
@@ -228,7 +231,7 @@
     }
 }
 
-fn read<T: for<'de> serde::Deserialize<'de>>(item: &KeyValue) -> Option<T> {
+fn parse_json<T: for<'de> serde::Deserialize<'de>>(item: &KeyValue) -> Option<T> {
     match serde_json::from_slice(&item.value) {
         Ok(value) => Some(value),
         Err(error) => {
--- a/ragwortwick-daemon/src/area/replica_feed.rs
+++ b/ragwortwick-daemon/src/area/replica_feed.rs
@@ -1,4 +1,4 @@
-//! Keeps the replica up to date with one watch, and tells the coordinator what changes.
+//! Keeps the job replica up to date with one watch, and reports changes to the coordinator.
 
 use ragwortwick_adapter::{KeyValue, StoreClient, StoreError, WatchEvent, WatchReply};
 use ragwortwick_area::{Event, RecoveredJob};
@@ -14,39 +14,39 @@
 use super::unstored_completions::HandedOverCompletion;
 use crate::Clock;
 
-/// Longest wait of one watch. A connection that went silent is noticed after this and a margin.
+/// Longest wait of one watch. An unresponsive connection is noticed after this time and a margin.
 const WATCH_WAIT_MS: DurationMs = DurationMs(1_500);
 
-/// Pause between watches of a host that does not coordinate: what callers see is so much later.
+/// Delay between watches of a host that is not the coordinator; clients see changes later by as much.
 ///
-/// Each watch is charged to all hosts' budget of calls; four a second on nine hosts stay below it.
-const FOLLOWER_PAUSE_MS: DurationMs = DurationMs(200);
+/// All hosts share one budget of store calls. Four watches per second on nine hosts stay below it.
+const FOLLOWER_DELAY_MS: DurationMs = DurationMs(200);
 
-/// Pause between watches of the coordinator, so that a burst of jobs comes in few answers.
-const COORDINATOR_PAUSE_MS: DurationMs = DurationMs(15);
+/// Delay between watches of the coordinator, so that a burst of jobs arrives in a few replies.
+const COORDINATOR_DELAY_MS: DurationMs = DurationMs(15);
 
-/// Pause after a failed call.
-const FAILED_PAUSE_MS: DurationMs = DurationMs(150);
+/// Delay after a failed call.
+const FAILURE_DELAY_MS: DurationMs = DurationMs(150);
 
-/// `CoordinatorKeyState` is what the store says of the coordinator.
+/// `CoordinatorKeyState` is the state of the coordinator key in the store, as last read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CoordinatorKeyState {
-    /// Nothing is known yet.
+    /// The key has not been read yet.
     Unknown,
-    /// Nobody coordinates.
+    /// There is no coordinator.
     Free,
-    /// Somebody does, since that revision.
+    /// A host holds the key, since this revision.
     Held(Revision),
 }
 
-/// `Subscribe` asks for all jobs as they are now, and for every change from then on.
+/// `Subscribe` requests all jobs in their current state, and every change from then on.
 #[derive(Debug)]
 pub(super) struct Subscribe {
     pub(super) events: EventSender,
     pub(super) reply: oneshot::Sender<Vec<(RecoveredJob, Revision)>>,
 }
 
-/// `ReplicaFeed` runs the watch.
+/// `ReplicaFeed` reads and watches the keys that every host replicates.
 #[derive(Debug)]
 pub(super) struct ReplicaFeed {
     pub(super) store: StoreClient,
@@ -57,72 +57,72 @@
     pub(super) metrics: AreaMetrics,
 }
 
-/// `Step` is what one round of the feed brings.
+/// `Step` is the result of one iteration of the feed.
 enum Step {
-    /// A term asks for everything, or none ever will again.
+    /// A term subscribes, or `None` once no term can subscribe any more.
     Subscribe(Option<Subscribe>),
     /// The whole prefix was read.
     Loaded(Revision, Vec<JobChange>),
-    /// A watch was answered.
+    /// A watch returned a reply.
     Changed(WatchReply),
     /// A call failed.
     Failed(StoreError),
 }
 
 impl ReplicaFeed {
-    /// Runs until nobody can ask to be attached any more.
+    /// Runs until no term can subscribe any more.
     pub(super) async fn run(self, mut requests: mpsc::Receiver<Subscribe>) {
-        let mut log = FeedMonitor::open("jobs", self.clock, &self.metrics);
-        let mut listener: Option<EventSender> = None;
+        let mut monitor = FeedMonitor::open("jobs", self.clock, &self.metrics);
+        let mut subscriber: Option<EventSender> = None;
         let mut position: Option<Revision> = None;
-        let mut pause_ms = DurationMs(0);
+        let mut delay_ms = DurationMs(0);
         loop {
-            // A new term waits neither for a watch nor for the pause between two.
+            // A subscription of a new term interrupts a watch or the delay between two.
             let step = tokio::select! {
                 request = requests.recv() => Step::Subscribe(request),
-                result = self.next(position, pause_ms) => result,
+                result = self.next(position, delay_ms) => result,
             };
-            pause_ms = DurationMs(0);
+            delay_ms = DurationMs(0);
             match step {
                 Step::Subscribe(None) => return,
                 Step::Subscribe(Some(request)) => {
-                    position = self.subscribe(request, &mut listener).await;
+                    position = self.subscribe(request, &mut subscriber).await;
                 }
-                Step::Loaded(as_of, news) => {
-                    log.record_answer(news.len());
+                Step::Loaded(as_of, changes) => {
+                    monitor.record_reply(changes.len());
                     position = Some(as_of);
-                    tell(&mut listener, news).await;
+                    send_changes(&mut subscriber, changes).await;
                 }
                 Step::Changed(reply) => {
-                    log.record_answer(reply.events.len());
-                    let news = self.take(&reply);
-                    tell(&mut listener, news).await;
-                    pause_ms = match (reply.events.is_empty(), &listener) {
+                    monitor.record_reply(reply.events.len());
+                    let changes = self.apply(&reply);
+                    send_changes(&mut subscriber, changes).await;
+                    delay_ms = match (reply.events.is_empty(), &subscriber) {
                         (true, _) => DurationMs(0),
-                        (false, Some(_)) => COORDINATOR_PAUSE_MS,
-                        (false, None) => FOLLOWER_PAUSE_MS,
+                        (false, Some(_)) => COORDINATOR_DELAY_MS,
+                        (false, None) => FOLLOWER_DELAY_MS,
                     };
                     position = Some(reply.as_of);
                 }
                 Step::Failed(error) => {
-                    log.record_failure(&error);
+                    monitor.record_failure(&error);
                     if error.is_relist_required() {
                         position = None;
                     } else {
-                        pause_ms = FAILED_PAUSE_MS;
+                        delay_ms = FAILURE_DELAY_MS;
                     }
                 }
             }
         }
     }
 
-    async fn next(&self, position: Option<Revision>, pause_ms: DurationMs) -> Step {
-        if pause_ms > DurationMs(0) {
-            tokio::time::sleep(pause_ms.into()).await;
+    async fn next(&self, position: Option<Revision>, delay_ms: DurationMs) -> Step {
+        if delay_ms > DurationMs(0) {
+            tokio::time::sleep(delay_ms.into()).await;
         }
         let Some(after) = position else {
             return match self.load().await {
-                Ok((as_of, news)) => Step::Loaded(as_of, news),
+                Ok((as_of, changes)) => Step::Loaded(as_of, changes),
                 Err(error) => Step::Failed(error),
             };
         };
@@ -137,65 +137,65 @@
         }
     }
 
-    fn take(&self, reply: &WatchReply) -> Vec<JobChange> {
-        let mut news = Vec::new();
-        for change in &reply.events {
-            self.see_coordinator(change);
-            news.extend(self.replica.apply(change));
+    fn apply(&self, reply: &WatchReply) -> Vec<JobChange> {
+        let mut changes = Vec::new();
+        for event in &reply.events {
+            self.update_coordinator_key(event);
+            changes.extend(self.replica.apply(event));
         }
-        news
+        changes
     }
 
     async fn subscribe(
         &self,
         request: Subscribe,
-        listener: &mut Option<EventSender>,
+        subscriber: &mut Option<EventSender>,
     ) -> Option<Revision> {
-        // The term was won after every earlier acceptance, and earlier terms can't write any more, so
-        // what is read now holds all of them and the newest progress.
+        // The term's key is created before this read, so earlier terms can't write any more: the read
+        // contains all jobs accepted before the term and their newest progress.
         let progress = read_prefix(&self.store, &self.health, PROGRESS_PREFIX);
         let (loaded, progress) = tokio::join!(self.load(), progress);
         match loaded.and_then(|loaded| Ok((loaded, progress?))) {
             Ok(((as_of, _), (items, _))) => {
-                let jobs = self.replica.known_jobs(parse_progress(&items));
+                let jobs = self.replica.recovered_jobs(parse_progress(&items));
                 if request.reply.send(jobs).is_ok() {
-                    *listener = Some(request.events);
+                    *subscriber = Some(request.events);
                 }
                 Some(as_of)
             }
             Err(error) => {
-                // The dropped reply tells the term that it can't begin.
+                // Dropping the reply channel reports the failure to the term.
                 log_event!(Warn, "term_load_failed", cause = error);
                 None
             }
         }
     }
 
-    fn see_coordinator(&self, change: &WatchEvent) {
-        let seen = match change {
+    fn update_coordinator_key(&self, event: &WatchEvent) {
+        let state = match event {
             WatchEvent::Written(item) if item.key == COORDINATOR_KEY => {
                 CoordinatorKeyState::Held(item.revision)
             }
             WatchEvent::Removed { key, .. } if key == COORDINATOR_KEY => CoordinatorKeyState::Free,
             _ => return,
         };
-        self.coordinator_key.send_replace(seen);
+        self.coordinator_key.send_replace(state);
     }
 
     async fn load(&self) -> Result<(Revision, Vec<JobChange>), StoreError> {
         let (items, as_of) = read_prefix(&self.store, &self.health, REPLICATED_PREFIX).await?;
         let coordinator = items.iter().find(|item| item.key == COORDINATOR_KEY);
-        let seen = coordinator.map_or(CoordinatorKeyState::Free, |item| {
+        let state = coordinator.map_or(CoordinatorKeyState::Free, |item| {
             CoordinatorKeyState::Held(item.revision)
         });
-        let news = self.replica.load(&items, as_of);
-        self.coordinator_key.send_replace(seen);
-        Ok((as_of, news))
+        let changes = self.replica.load(&items, as_of);
+        self.coordinator_key.send_replace(state);
+        Ok((as_of, changes))
     }
 }
 
-/// Reads all pages of a prefix. The revision is that of the first page: what changes while the
-/// others are read is then told by a watch from there, instead of being lost.
+/// Reads all pages of a prefix. The returned revision is that of the first page, so that a watch from
+/// there includes the changes made while the other pages were read.
 pub(super) async fn read_prefix(
     store: &StoreClient,
     health: &StoreHealth,
@@ -220,28 +220,35 @@
     Ok((items, as_of))
 }
 
-async fn tell(listener: &mut Option<EventSender>, news: Vec<JobChange>) {
-    let Some(events) = listener else { return };
-    for event in news.into_iter().flat_map(events_of) {
+async fn send_changes(subscriber: &mut Option<EventSender>, changes: Vec<JobChange>) {
+    let Some(events) = subscriber else { return };
+    for event in changes.into_iter().flat_map(events_of) {
         if !events.send(event).await {
-            // The term is over.
-            *listener = None;
+            // The term has ended.
+            *subscriber = None;
             return;
         }
     }
 }
 
-fn events_of(news: JobChange) -> Vec<Event> {
-    match news {
+fn events_of(change: JobChange) -> Vec<Event> {
+    match change {
         JobChange::Accepted(record) => vec![Event::JobAccepted(record)],
-        JobChange::CompletionsHandedOver(job_id, ends) => completion_events(&job_id, &ends),
+        JobChange::CompletionsHandedOver(job_id, completions) => {
+            completion_events(&job_id, &completions)
+        }
         JobChange::Cancelled(job_id) => vec![Event::JobCancelled(job_id)],
     }
 }
 
-/// What the coordinator is told of a job's ends that an earlier one left.
-pub(super) fn completion_events(job_id: &JobId, ends: &[HandedOverCompletion]) -> Vec<Event> {
-    let ends = ends.iter().map(|end| end.task_and_run(job_id));
-    ends.map(|(task, run)| Event::CompletionHandedOver { task, run })
+/// Events for a job's completions that an earlier coordinator handed over.
+pub(super) fn completion_events(
+    job_id: &JobId,
+    completions: &[HandedOverCompletion],
+) -> Vec<Event> {
+    let runs = completions
+        .iter()
+        .map(|completion| completion.task_and_run(job_id));
+    runs.map(|(task, run)| Event::CompletionHandedOver { task, run })
         .collect()
 }
--- a/ragwortwick-daemon/src/area/worker_feed.rs
+++ b/ragwortwick-daemon/src/area/worker_feed.rs
@@ -1,4 +1,4 @@
-//! Tells the coordinator which workers there are, by a paced watch of their entries.
+//! Reports changes of the worker list to the coordinator, from a watch of the workers' entries.
 
 use std::collections::BTreeSet;
 
@@ -16,39 +16,39 @@
 use super::store_health::StoreHealth;
 use crate::Clock;
 
-/// Pause between two watches. Every worker's heartbeat changes its entry, so a watch sent at once is
-/// answered at once; a leaving worker is still seen well before it must get no more work.
-const PAUSE_MS: DurationMs = DurationMs(400);
+/// Delay between two watches. Every heartbeat of a worker changes its entry, so without a delay each watch
+/// would return at once. A leaving worker is still seen well before it must not be given more work.
+const WATCH_DELAY_MS: DurationMs = DurationMs(400);
 
-/// A watch that brings nothing for so long is suspect, since some worker writes all the time: the
-/// store may have dropped its history without telling, and the list is read again.
+/// Longest wait of one watch. Some worker writes all the time, so a watch without changes suggests that
+/// the store has dropped its history without an error, and the list is read again.
 const WATCH_WAIT_MS: DurationMs = DurationMs(600);
 
-/// Pause after a failed call.
-const FAILED_PAUSE_MS: DurationMs = DurationMs(150);
+/// Delay after a failed call.
+const FAILURE_DELAY_MS: DurationMs = DurationMs(150);
 
-/// `WorkerFeed` follows the workers' entries for one term.
+/// `WorkerFeed` reads and watches the workers' entries for one term.
 #[derive(Debug)]
 pub(super) struct WorkerFeed {
     pub(super) store: StoreClient,
     pub(super) health: StoreHealth,
     pub(super) events: EventSender,
-    /// Workers that the coordinator was told of.
+    /// Workers reported to the coordinator.
     pub(super) known: BTreeSet<WorkerName>,
     pub(super) clock: Clock,
     pub(super) metrics: AreaMetrics,
 }
 
-/// Reads all entries as they are now.
+/// Reads the current entries of all workers.
 pub(super) async fn read_workers(
     store: &StoreClient,
     health: &StoreHealth,
 ) -> Result<(Vec<WorkerEntry>, Revision), StoreError> {
     let (items, as_of) = read_prefix(store, health, WORKERS_PREFIX).await?;
-    Ok((items.iter().filter_map(entry).collect(), as_of))
+    Ok((items.iter().filter_map(parse_entry).collect(), as_of))
 }
 
-fn entry(item: &KeyValue) -> Option<WorkerEntry> {
+fn parse_entry(item: &KeyValue) -> Option<WorkerEntry> {
     let name = worker_name_from_key(&item.key)?;
     match decode_worker_entry(&name, &item.value) {
         Ok(entry) => Some(entry),
@@ -68,7 +68,7 @@
 impl WorkerFeed {
     /// Runs until the term ends.
     pub(super) async fn run(mut self, mut position: Option<Revision>) {
-        let mut log = FeedMonitor::open("workers", self.clock, &self.metrics);
+        let mut monitor = FeedMonitor::open("workers", self.clock, &self.metrics);
         loop {
             let result = match position {
                 None => self.read().await,
@@ -76,19 +76,19 @@
             };
             match result {
                 Ok(next) => {
-                    log.record_answer(self.known.len());
+                    monitor.record_reply(self.known.len());
                     position = next;
                     if !self.events.send(Event::WorkersConfirmed).await {
                         return;
                     }
-                    tokio::time::sleep(PAUSE_MS.into()).await;
+                    tokio::time::sleep(WATCH_DELAY_MS.into()).await;
                 }
                 Err(error) => {
-                    log.record_failure(&error);
+                    monitor.record_failure(&error);
                     if error.is_relist_required() {
                         position = None;
                     } else {
-                        tokio::time::sleep(FAILED_PAUSE_MS.into()).await;
+                        tokio::time::sleep(FAILURE_DELAY_MS.into()).await;
                     }
                 }
             }
@@ -99,12 +99,12 @@
         let (entries, as_of) = read_workers(&self.store, &self.health).await?;
         let present: BTreeSet<WorkerName> =
             entries.iter().map(|entry| entry.name.clone()).collect();
-        let gone: Vec<WorkerName> = self.known.difference(&present).cloned().collect();
-        for name in gone {
-            self.gone(name).await;
+        let removed: Vec<WorkerName> = self.known.difference(&present).cloned().collect();
+        for name in removed {
+            self.remove(name).await;
         }
         for entry in entries {
-            self.seen(entry).await;
+            self.update(entry).await;
         }
         Ok(Some(as_of))
     }
@@ -116,19 +116,19 @@
         if reply.events.is_empty() && !self.known.is_empty() {
             return self.read().await;
         }
-        for change in &reply.events {
-            match change {
-                WatchEvent::Written(item) => match entry(item) {
-                    Some(entry) => self.seen(entry).await,
-                    None => self.gone_key(&item.key).await,
+        for event in &reply.events {
+            match event {
+                WatchEvent::Written(item) => match parse_entry(item) {
+                    Some(entry) => self.update(entry).await,
+                    None => self.remove_key(&item.key).await,
                 },
-                WatchEvent::Removed { key, .. } => self.gone_key(key).await,
+                WatchEvent::Removed { key, .. } => self.remove_key(key).await,
             }
         }
         Ok(Some(reply.as_of))
     }
 
-    async fn seen(&mut self, entry: WorkerEntry) {
+    async fn update(&mut self, entry: WorkerEntry) {
         if self.known.insert(entry.name.clone()) {
             log_event!(
                 Info,
@@ -142,13 +142,13 @@
         self.events.send(Event::WorkerUpdated(entry)).await;
     }
 
-    async fn gone_key(&mut self, key: &str) {
+    async fn remove_key(&mut self, key: &str) {
         if let Some(name) = worker_name_from_key(key) {
-            self.gone(name).await;
+            self.remove(name).await;
         }
     }
 
-    async fn gone(&mut self, name: WorkerName) {
+    async fn remove(&mut self, name: WorkerName) {
         if self.known.remove(&name) {
             log_event!(Info, "worker_gone", worker = name);
             self.events.send(Event::WorkerRemoved(name)).await;
