--- a/ragwortwick-daemon/src/area/host.rs
+++ b/ragwortwick-daemon/src/area/host.rs
@@ -1,4 +1,4 @@
-//! The running entry host of an area: starts every duty and stops them in order.
+//! A running entry host of an area: starts all tasks and stops them in order.
 
 use std::sync::Arc;
 
@@ -25,21 +25,21 @@
 use super::term::TermContext;
 use crate::Clock;
 
-/// How long a stopping host goes on taking connections: the balancer asks once a second and sends
-/// none after two answers that say no.
-const STOP_NOTICE_MS: DurationMs = DurationMs(3_000);
+/// How long a stopping host accepts new connections: the load balancer probes once per second and sends no
+/// more after two probes that report not ready.
+const DRAIN_MS: DurationMs = DurationMs(3_000);
 
-/// Part of the grace that is left for closing connections and ending the process.
+/// Part of the grace period that is reserved for closing connections and ending the process.
 const STOP_RESERVE_MS: DurationMs = DurationMs(700);
 
-/// `AreaHostError` says why the process could not start.
+/// `AreaHostError` is the reason why the host could not start.
 #[derive(Debug, Display)]
 pub enum AreaHostError {
     /// cannot listen on {address}: {cause}
     Listen {
-        /// The address asked for.
+        /// The configured address.
         address: String,
-        /// What the system said.
+        /// The system's error.
         cause: std::io::Error,
     },
     /// cannot register the metrics: {0}
@@ -54,7 +54,7 @@
     settings: AreaSettings,
     server: Server,
     ready_server: Server,
-    /// Serves for as long as the handle lives.
+    /// Serves until it is dropped.
     _metrics_server: Option<Server>,
     stopping: watch::Sender<bool>,
     feeds: JoinSet<()>,
@@ -62,7 +62,7 @@
 }
 
 impl AreaHost {
-    /// `spawn` starts all duties and returns once the host can be called.
+    /// `spawn` starts all tasks and returns once the host accepts calls.
     ///
     /// # Errors
     ///
@@ -74,7 +74,7 @@
         let age = DesiredStateAge::default();
         let replica = JobReplica::default();
         let metrics = AreaMetrics::open(store.call_counts()).map_err(AreaHostError::Metrics)?;
-        let (stopping, stopping_feed) = watch::channel(false);
+        let (stopping, stopping_receiver) = watch::channel(false);
         let (desired_sender, desired) = watch::channel::<Option<Arc<DesiredState>>>(None);
         let (key_sender, coordinator_key) = watch::channel(CoordinatorKeyState::Unknown);
         let (subscriptions, subscription_requests) = mpsc::channel(1);
@@ -100,7 +100,7 @@
         feeds.spawn(replica_feed.run(subscription_requests));
 
         let mut election = JoinSet::new();
-        let parts = TermContext {
+        let context = TermContext {
             store: store.clone(),
             health: health.clone(),
             clock,
@@ -109,17 +109,17 @@
             desired: desired.clone(),
             subscriptions,
             coordinator_key,
-            stopping: stopping_feed.clone(),
+            stopping: stopping_receiver.clone(),
             replica: replica.clone(),
             metrics: metrics.clone(),
         };
         election.spawn(election::run(
-            parts,
+            context,
             settings.host.clone(),
             settings.cpu_share,
         ));
 
-        let front = JobApi {
+        let api = JobApi {
             clock,
             desired: desired.clone(),
             age: age.clone(),
@@ -129,7 +129,7 @@
                 replica: replica.clone(),
                 clock,
             },
-            stopping: stopping_feed.clone(),
+            stopping: stopping_receiver.clone(),
             metrics: metrics.clone(),
             refusal_log_limiter: LogRateLimiter::new("call_refused"),
         };
@@ -139,14 +139,14 @@
             age,
             replica,
             health,
-            stopping: stopping_feed,
+            stopping: stopping_receiver,
         };
         let ready_server = bind(&settings.ready_listen, readiness::router(readiness)).await?;
         let metrics_server = match &settings.metrics_listen {
             Some(address) => Some(bind(address, metrics::router(metrics)).await?),
             None => None,
         };
-        let server = bind(&settings.listen, job_api::router(front)).await?;
+        let server = bind(&settings.listen, job_api::router(api)).await?;
         log_event!(
             Info,
             "listening",
@@ -169,28 +169,28 @@
         })
     }
 
-    /// `address` is where callers reach this host.
+    /// `address` returns the address of the job API.
     #[must_use]
     pub fn address(&self) -> std::net::SocketAddr {
         self.server.address()
     }
 
-    /// `ready_address` is where the balancer asks.
+    /// `ready_address` returns the address of the readiness probe.
     #[must_use]
     pub fn ready_address(&self) -> std::net::SocketAddr {
         self.ready_server.address()
     }
 
-    /// `close` is the planned stop: the key goes to a successor at once, callers are served on until
-    /// the balancer has looked away, and every request that was begun gets its answer.
+    /// `close` stops the host as planned: it releases the coordinator key at once, serves clients until the
+    /// load balancer sends no more, and completes every request in progress.
     pub async fn close(mut self) {
         log_event!(Info, "stopping", host = self.settings.host);
         self.stopping.send_replace(true);
         while self.election.join_next().await.is_some() {}
-        tokio::time::sleep(STOP_NOTICE_MS.into()).await;
+        tokio::time::sleep(DRAIN_MS.into()).await;
         let left_ms = seconds_to_ms(self.settings.stop_grace_s)
             .0
-            .saturating_sub(STOP_NOTICE_MS.0 + STOP_RESERVE_MS.0);
+            .saturating_sub(DRAIN_MS.0 + STOP_RESERVE_MS.0);
         let closing = tokio::time::timeout(DurationMs(left_ms).into(), self.server.close()).await;
         self.feeds.shutdown().await;
         log_event!(
--- a/ragwortwick-daemon/src/area/job_api.rs
+++ b/ragwortwick-daemon/src/area/job_api.rs
@@ -1,4 +1,4 @@
-//! Callers' side: jobs handed in, asked for and cancelled.
+//! HTTP API for clients: submits, shows and cancels jobs.
 
 use std::panic::AssertUnwindSafe;
 use std::sync::Arc;
@@ -28,25 +28,25 @@
 use super::metrics::AreaMetrics;
 use crate::{Clock, unix_now};
 
-/// Time a caller waits if it doesn't say.
+/// Deadline of a request without a deadline header.
 const DEFAULT_DEADLINE_MS: DurationMs = DurationMs(3_000);
 
-/// Time kept for the way back to the caller.
-const ANSWER_MARGIN_MS: DurationMs = DurationMs(250);
+/// Part of the deadline that is reserved for the response's way to the client.
+const RESPONSE_MARGIN_MS: DurationMs = DurationMs(250);
 
-/// Largest body if the desired state names no bound.
+/// Largest body if the desired state sets no limit.
 const DEFAULT_BODY_BYTES: usize = 256 << 10;
 
-/// Whole seconds after which a refused caller may come back: outages of the store last seconds.
+/// Seconds after which a refused client may retry: outages of the store last seconds.
 const RETRY_AFTER_S: u64 = 1;
 
-/// Why a host refuses for now what only the newest desired state can tell.
-const UNCONFIRMED: &str = "the desired state on this host may be old";
+/// Cause of a temporary refusal while the host can't confirm that its desired state is the newest.
+const MAYBE_STALE: &str = "the desired state on this host may be old";
 
 /// Digits of a job's id.
 const JOB_ID_DIGITS: usize = 16;
 
-/// `JobApi` is what the callers' side needs; clones share everything.
+/// `JobApi` is the state of the job API's handlers; clones share it.
 #[derive(Clone, Debug)]
 pub(super) struct JobApi {
     pub(super) clock: Clock,
@@ -55,17 +55,17 @@
     pub(super) writer: JobWriter,
     pub(super) stopping: watch::Receiver<bool>,
     pub(super) metrics: AreaMetrics,
-    /// Bounds the lines on calls that are refused before they name a job.
+    /// Limits the log lines on requests that are refused before their job id is parsed.
     pub(super) refusal_log_limiter: LogRateLimiter,
 }
 
-/// The handler's view of `JobApi`. A panic ends the process, so no half-changed state is ever seen.
+/// `JobApi` as gotham state. A panic ends the process, so no handler sees half-changed state.
 #[derive(Clone, Debug, StateData)]
 struct SharedJobApi(Arc<AssertUnwindSafe<JobApi>>);
 
-/// Routes every path to one handler: which queue a call is for stands in the desired state.
-pub(super) fn router(front: JobApi) -> Router {
-    let shared = SharedJobApi(Arc::new(AssertUnwindSafe(front)));
+/// Routes every path to one handler, because the desired state defines the paths of the queues.
+pub(super) fn router(api: JobApi) -> Router {
+    let shared = SharedJobApi(Arc::new(AssertUnwindSafe(api)));
     let (chain, pipelines) = single_pipeline(single_middleware(StateMiddleware::new(shared)));
     build_router(chain, pipelines, |route| {
         let methods = vec![Method::GET, Method::POST, Method::DELETE];
@@ -77,84 +77,84 @@
 }
 
 async fn handle(state: &mut State) -> SimpleHandlerResult {
-    let front = Arc::clone(&SharedJobApi::borrow_from(state).0);
-    let mut response = answer(&front, state).await;
-    if *front.stopping.borrow() || front.writer.health.is_unavailable() {
-        // A caller that keeps its connection would send its next request into the closing of it, or ask
-        // a host that learns nothing new, while others could tell it of its job's end.
+    let api = Arc::clone(&SharedJobApi::borrow_from(state).0);
+    let mut response = answer(&api, state).await;
+    if *api.stopping.borrow() || api.writer.health.is_unavailable() {
+        // A client that kept its connection would send its next request on a closing one, or ask a host
+        // without new information, while other hosts could report its job's end.
         let value = HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, value);
     }
     Ok(response)
 }
 
-/// `Call` is a call whose queue and customer are known.
-struct Call {
+/// `ResolvedRequest` is a request whose queue and customer are known.
+struct ResolvedRequest {
     queue_name: ClassName,
     queue: Queue,
     customer: CustomerName,
-    /// What follows the queue's prefix in the path.
+    /// The path after the queue's prefix.
     rest: String,
-    until: TimeMs,
+    deadline: TimeMs,
     max_body_bytes: usize,
 }
 
-async fn answer(front: &JobApi, state: &mut State) -> Response<Body> {
+async fn answer(api: &JobApi, state: &mut State) -> Response<Body> {
     let method = Method::borrow_from(state).clone();
-    let call = match identify(front, state) {
-        Ok(call) => call,
-        Err(refusal) => return refuse(front, state, refusal),
+    let request = match resolve(api, state) {
+        Ok(request) => request,
+        Err(refusal) => return refuse(api, state, refusal),
     };
-    if call.rest.is_empty() && method == Method::GET {
-        let pending = front.writer.replica.count_pending(&call.queue_name);
+    if request.rest.is_empty() && method == Method::GET {
+        let pending = api.writer.replica.count_pending(&request.queue_name);
         return json_bytes(state, encode_pending_count(pending));
     }
-    let Some(job_id) = parse_job_id(&call.rest) else {
+    let Some(job_id) = parse_job_id(&request.rest) else {
         let expected = format!("expected {JOB_ID_DIGITS} hexadecimal digits");
         return RequestError::new(StatusCode::BAD_REQUEST, "job_id", expected).into_response(state);
     };
     match method {
-        Method::POST => submit(front, state, call, job_id).await,
-        Method::DELETE => cancel(front, state, &call, &job_id).await,
-        _ => show(front, state, &job_id).await,
+        Method::POST => submit(api, state, request, job_id).await,
+        Method::DELETE => cancel(api, state, &request, &job_id).await,
+        _ => show(api, state, &job_id).await,
     }
 }
 
-/// Refuses a call whose queue or customer is unknown here.
-fn refuse(front: &JobApi, state: &State, refusal: RequestError) -> Response<Body> {
-    let now = front.clock.now();
-    if front.refusal_log_limiter.admit(now) {
-        let desired = front.desired.borrow().clone();
+/// Refuses a request whose queue or customer is unknown on this host.
+fn refuse(api: &JobApi, state: &State, refusal: RequestError) -> Response<Body> {
+    let now = api.clock.now();
+    if api.refusal_log_limiter.admit(now) {
+        let desired = api.desired.borrow().clone();
         log_event!(
             Info,
             "call_refused",
             status = refusal.status.as_u16(),
             path = Uri::borrow_from(state).path(),
             desired_version = desired.map_or(0, |desired| desired.version),
-            desired_age_ms = front.age.age_ms(now)
+            desired_age_ms = api.age.age_ms(now)
         );
     }
-    // A version that this host hasn't seen may have added what is unknown here. Refused for good,
-    // the caller would not ask another host.
-    if front.age.is_fresh(now) {
+    // A newer version may have added the queue or the key. After a permanent refusal the client would not
+    // ask another host.
+    if api.age.is_fresh(now) {
         refusal.into_response(state)
     } else {
-        come_back(state, UNCONFIRMED)
+        retry_later(state, MAYBE_STALE)
     }
 }
 
-fn identify(front: &JobApi, state: &State) -> Result<Call, RequestError> {
-    let arrived_at = front.clock.now();
+fn resolve(api: &JobApi, state: &State) -> Result<ResolvedRequest, RequestError> {
+    let arrived_at = api.clock.now();
     let headers = HeaderMap::borrow_from(state);
     let uri = Uri::borrow_from(state);
-    let Some(desired) = front.desired.borrow().clone() else {
+    let Some(desired) = api.desired.borrow().clone() else {
         return Err(RequestError::new(
             StatusCode::SERVICE_UNAVAILABLE,
             "desired_state",
             "this host has not read the desired state yet",
         ));
     };
-    let host = text_of(headers, header::HOST).unwrap_or_default();
+    let host = header_text(headers, header::HOST).unwrap_or_default();
     let host = host.split(':').next().unwrap_or_default();
     let Some((queue_name, queue)) = desired.route(host, uri.path()) else {
         return Err(RequestError::new(
@@ -163,7 +163,7 @@
             "no queue has this host and prefix",
         ));
     };
-    let key = text_of(headers, header::AUTHORIZATION).and_then(parse_api_key);
+    let key = header_text(headers, header::AUTHORIZATION).and_then(parse_api_key);
     let customer = key.and_then(|key| desired.customer_of_key(key));
     let customer = match customer {
         Some(customer) => customer.clone(),
@@ -176,20 +176,20 @@
             ));
         }
     };
-    let deadline_ms = text_of(headers, DEADLINE_HEADER)
+    let deadline_ms = header_text(headers, DEADLINE_HEADER)
         .and_then(|text| text.trim().parse().ok())
         .map_or(DEFAULT_DEADLINE_MS, DurationMs);
-    Ok(Call {
+    Ok(ResolvedRequest {
         queue_name: queue_name.clone(),
         queue: queue.clone(),
         customer,
         rest: uri.path()[queue.path_prefix.len()..].to_owned(),
-        until: arrived_at + deadline_ms - ANSWER_MARGIN_MS,
+        deadline: arrived_at + deadline_ms - RESPONSE_MARGIN_MS,
         max_body_bytes: desired.max_body_bytes.unwrap_or(DEFAULT_BODY_BYTES),
     })
 }
 
-fn text_of(headers: &HeaderMap, name: impl AsHeaderName) -> Option<&str> {
+fn header_text(headers: &HeaderMap, name: impl AsHeaderName) -> Option<&str> {
     headers.get(name)?.to_str().ok()
 }
 
@@ -198,8 +198,13 @@
     is_id.then(|| JobId::new(text))
 }
 
-async fn submit(front: &JobApi, state: &mut State, call: Call, job_id: JobId) -> Response<Body> {
-    let bytes = match read_bytes(state, call.max_body_bytes).await {
+async fn submit(
+    api: &JobApi,
+    state: &mut State,
+    request: ResolvedRequest,
+    job_id: JobId,
+) -> Response<Body> {
+    let bytes = match read_bytes(state, request.max_body_bytes).await {
         Ok(bytes) => bytes,
         Err(refusal) => return refusal.into_response(state),
     };
@@ -211,7 +216,7 @@
                 Info,
                 "job_rejected",
                 job_id = job_id,
-                customer = call.customer,
+                customer = request.customer,
                 cause = text
             );
             return RequestError::new(StatusCode::BAD_REQUEST, "body", text).into_response(state);
@@ -219,9 +224,9 @@
     };
     let record = JobRecord {
         job_id: job_id.clone(),
-        queue: call.queue_name.clone(),
-        policy: call.queue.policy.clone(),
-        customer: call.customer.clone(),
+        queue: request.queue_name.clone(),
+        policy: request.queue.policy.clone(),
+        customer: request.customer.clone(),
         payload: body.payload,
         steps: body.steps,
         schedule: body.schedule,
@@ -233,55 +238,60 @@
             Info,
             "job_rejected",
             job_id = job_id,
-            customer = call.customer,
+            customer = request.customer,
             cause = text
         );
         return RequestError::new(StatusCode::BAD_REQUEST, error.field(), text)
             .into_response(state);
     }
-    let begun_at = front.clock.now();
+    let started_at = api.clock.now();
     let steps = record.steps_summary();
-    // A version that this host hasn't seen may have dropped the queue or the key.
-    let outcome = if front.age.is_fresh(begun_at) {
-        front.writer.accept(record, call.until).await
+    // A newer version may have removed the queue or the key.
+    let outcome = if api.age.is_fresh(started_at) {
+        api.writer.accept(record, request.deadline).await
     } else {
-        WriteOutcome::NotStored(UNCONFIRMED.to_owned())
+        WriteOutcome::NotStored(MAYBE_STALE.to_owned())
     };
-    let customer = call.customer.as_str();
-    let counted = front
+    let customer = request.customer.as_str();
+    let counter = api
         .metrics
         .submissions
         .with_label_values(&[customer, outcome.name()]);
-    counted.inc();
-    let taken = std::time::Duration::from(front.clock.now().since(begun_at));
-    let timed = front.metrics.accept_seconds.with_label_values(&[customer]);
-    timed.observe(taken.as_secs_f64());
+    counter.inc();
+    let elapsed = std::time::Duration::from(api.clock.now().since(started_at));
+    let histogram = api.metrics.accept_seconds.with_label_values(&[customer]);
+    histogram.observe(elapsed.as_secs_f64());
     log_event!(
         Info,
         "job_handed_in",
         job_id = job_id,
-        queue = call.queue_name,
-        customer = call.customer,
+        queue = request.queue_name,
+        customer = request.customer,
         outcome = format!("{outcome:?}"),
         steps = steps
     );
     respond(state, &outcome)
 }
 
-async fn cancel(front: &JobApi, state: &mut State, call: &Call, job_id: &JobId) -> Response<Body> {
-    let outcome = front.writer.cancel(job_id, call.until).await;
+async fn cancel(
+    api: &JobApi,
+    state: &mut State,
+    request: &ResolvedRequest,
+    job_id: &JobId,
+) -> Response<Body> {
+    let outcome = api.writer.cancel(job_id, request.deadline).await;
     log_event!(
         Info,
         "job_cancel",
         job_id = job_id,
-        customer = call.customer,
+        customer = request.customer,
         outcome = format!("{outcome:?}")
     );
     respond(state, &outcome)
 }
 
-async fn show(front: &JobApi, state: &mut State, job_id: &JobId) -> Response<Body> {
-    match front.writer.find(job_id).await {
+async fn show(api: &JobApi, state: &mut State, job_id: &JobId) -> Response<Body> {
+    match api.writer.find(job_id).await {
         Ok(Some(view)) => json_bytes(state, encode_job_phase(view.reported_phase())),
         Ok(None) => respond(state, &WriteOutcome::NoSuchJob),
         Err(error) => respond(state, &WriteOutcome::NotStored(error.to_string())),
@@ -294,7 +304,7 @@
         WriteOutcome::NoSuchJob => {
             RequestError::new(StatusCode::GONE, "job_id", "no such job").into_response(state)
         }
-        WriteOutcome::NotStored(cause) => come_back(state, cause),
+        WriteOutcome::NotStored(cause) => retry_later(state, cause),
         WriteOutcome::Unknown(cause) => {
             RequestError::new(StatusCode::GATEWAY_TIMEOUT, "store", cause.as_str())
                 .into_response(state)
@@ -302,8 +312,8 @@
     }
 }
 
-/// Refuses a call that has not been carried out, and says when to try again.
-fn come_back(state: &State, cause: &str) -> Response<Body> {
+/// Refuses a request that has had no effect, with the time after which to retry.
+fn retry_later(state: &State, cause: &str) -> Response<Body> {
     let refusal = RequestError::new(StatusCode::SERVICE_UNAVAILABLE, "store", cause);
     let mut response = refusal.into_response(state);
     let value = HeaderValue::from(RETRY_AFTER_S);
--- a/ragwortwick-daemon/src/area/job_writer.rs
+++ b/ragwortwick-daemon/src/area/job_writer.rs
@@ -1,4 +1,4 @@
-//! Taking jobs in and cancelling them: stored before they are confirmed.
+//! Writes of submitted jobs and of cancellations, which are stored before they are confirmed.
 
 use std::sync::Arc;
 
@@ -11,24 +11,24 @@
 use super::store_health::StoreHealth;
 use crate::Clock;
 
-/// Pause before a write without a certain outcome is sent again.
-const RETRY_MS: DurationMs = DurationMs(60);
+/// Delay before a write with an unknown outcome is sent again.
+const RETRY_DELAY_MS: DurationMs = DurationMs(60);
 
-/// `WriteOutcome` is how a write for a caller went.
+/// `WriteOutcome` is the outcome of a write for a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum WriteOutcome {
-    /// It is stored.
+    /// The write is stored.
     Stored,
-    /// It is certainly not stored and never will be.
+    /// The write is not stored and never will be.
     NotStored(String),
-    /// It may be stored, or may be later.
+    /// The write may be stored, now or later.
     Unknown(String),
     /// There is no such job.
     NoSuchJob,
 }
 
 impl WriteOutcome {
-    /// `name` is the outcome as a label of a metric.
+    /// `name` returns the outcome as a metric label.
     pub(super) fn name(&self) -> &'static str {
         match self {
             Self::Stored => "stored",
@@ -39,7 +39,7 @@
     }
 }
 
-/// `JobWriter` stores what callers ask for; clones share everything.
+/// `JobWriter` stores the jobs and cancellations that clients submit; clones share its state.
 #[derive(Clone, Debug)]
 pub(super) struct JobWriter {
     pub(super) store: StoreClient,
@@ -49,8 +49,8 @@
 }
 
 impl JobWriter {
-    /// Stores a job under "does not exist": the same id handed in again remains one job.
-    pub(super) async fn accept(&self, record: JobRecord, until: TimeMs) -> WriteOutcome {
+    /// Stores a job if its id doesn't exist yet: a job submitted again under the same id remains one job.
+    pub(super) async fn accept(&self, record: JobRecord, deadline: TimeMs) -> WriteOutcome {
         let record = Arc::new(record);
         let key = JobKeyKind::Record.key_of(&record.job_id);
         let value = match serde_json::to_vec(&*record) {
@@ -58,7 +58,7 @@
             Err(error) => return WriteOutcome::NotStored(error.to_string()),
         };
         let txn = Txn {
-            preconditions: vec![absent(&key)],
+            preconditions: vec![expect_absent(&key)],
             writes: vec![WriteItem {
                 key,
                 value,
@@ -66,15 +66,15 @@
             }],
             removes: Vec::new(),
         };
-        let outcome = self.settle(&txn, until).await;
-        if let Settled::Done(revision) = outcome {
+        let outcome = self.create(&txn, deadline).await;
+        if let CreateOutcome::Stored(revision) = outcome {
             self.replica.insert_accepted(&record, revision);
         }
         outcome.into()
     }
 
-    /// Stores the wish to cancel a job.
-    pub(super) async fn cancel(&self, job_id: &JobId, until: TimeMs) -> WriteOutcome {
+    /// Stores a cancel request.
+    pub(super) async fn cancel(&self, job_id: &JobId, deadline: TimeMs) -> WriteOutcome {
         match self.find(job_id).await {
             Ok(Some(view)) if view.reported_phase().is_final() => return WriteOutcome::Stored,
             Ok(Some(_)) => {}
@@ -83,7 +83,7 @@
         }
         let key = JobKeyKind::Cancel.key_of(job_id);
         let txn = Txn {
-            preconditions: vec![absent(&key)],
+            preconditions: vec![expect_absent(&key)],
             writes: vec![WriteItem {
                 key,
                 value: b"{}".to_vec(),
@@ -91,19 +91,19 @@
             }],
             removes: Vec::new(),
         };
-        let outcome: WriteOutcome = self.settle(&txn, until).await.into();
+        let outcome: WriteOutcome = self.create(&txn, deadline).await.into();
         if outcome == WriteOutcome::Stored {
             self.replica.mark_cancelled(job_id);
         }
         outcome
     }
 
-    /// Finds a job here or, if it is not known yet, in the store.
+    /// Finds a job in the replica or, if it is not there yet, in the store.
     pub(super) async fn find(&self, job_id: &JobId) -> Result<Option<JobView>, StoreError> {
         if let Some(view) = self.replica.view(job_id) {
             return Ok(Some(view));
         }
-        // Another host may have accepted it a moment ago.
+        // Another host may have accepted the job a moment ago.
         let found = self.store.get(&JobKeyKind::Record.key_of(job_id)).await;
         self.health.record(&found);
         let Some(item) = found? else {
@@ -114,54 +114,54 @@
         Ok(self.replica.view(job_id))
     }
 
-    /// Sends a create until its outcome is certain or the caller's time is over.
-    async fn settle(&self, txn: &Txn, until: TimeMs) -> Settled {
+    /// Sends a create until its outcome is certain or the client's deadline has passed.
+    async fn create(&self, txn: &Txn, deadline: TimeMs) -> CreateOutcome {
         if self.health.is_unavailable() {
-            // Nothing is sent, so the caller learns at once, and truly, that nothing was done.
-            return Settled::NotDone("the store is out of reach".to_owned());
+            // Nothing is sent, so it is certain, and known at once, that nothing is stored.
+            return CreateOutcome::NotStored("the store is out of reach".to_owned());
         }
-        let mut doubt: Option<String> = None;
+        let mut unknown_cause: Option<String> = None;
         loop {
-            let left_ms = until.since(self.clock.now()).max(RETRY_MS);
+            let left_ms = deadline.since(self.clock.now()).max(RETRY_DELAY_MS);
             let reply = self.store.commit_within(txn, left_ms).await;
             self.health.record(&reply);
             let error = match reply {
-                Ok(TxnReply::Committed(revision)) => return Settled::Done(revision),
-                // It exists: an earlier try of ours took effect, or somebody else's did.
-                Ok(TxnReply::Conflict(_)) => return Settled::Exists,
-                Err(StoreError::Refused(cause)) if doubt.is_none() => {
-                    return Settled::NotDone(cause);
+                Ok(TxnReply::Committed(revision)) => return CreateOutcome::Stored(revision),
+                // The key exists: an earlier try of this call or another call created it.
+                Ok(TxnReply::Conflict(_)) => return CreateOutcome::Exists,
+                Err(StoreError::Refused(cause)) if unknown_cause.is_none() => {
+                    return CreateOutcome::NotStored(cause);
                 }
                 Err(error) => error.to_string(),
             };
-            doubt = Some(error.clone());
-            if self.clock.now() + RETRY_MS >= until {
-                return Settled::Unknown(error);
+            unknown_cause = Some(error.clone());
+            if self.clock.now() + RETRY_DELAY_MS >= deadline {
+                return CreateOutcome::Unknown(error);
             }
-            tokio::time::sleep(RETRY_MS.into()).await;
+            tokio::time::sleep(RETRY_DELAY_MS.into()).await;
         }
     }
 }
 
-/// `Settled` is the outcome of a create.
-enum Settled {
-    Done(Revision),
+/// `CreateOutcome` is the outcome of a create.
+enum CreateOutcome {
+    Stored(Revision),
     Exists,
-    NotDone(String),
+    NotStored(String),
     Unknown(String),
 }
 
-impl From<Settled> for WriteOutcome {
-    fn from(settled: Settled) -> Self {
-        match settled {
-            Settled::Done(_) | Settled::Exists => Self::Stored,
-            Settled::NotDone(cause) => Self::NotStored(cause),
-            Settled::Unknown(cause) => Self::Unknown(cause),
+impl From<CreateOutcome> for WriteOutcome {
+    fn from(outcome: CreateOutcome) -> Self {
+        match outcome {
+            CreateOutcome::Stored(_) | CreateOutcome::Exists => Self::Stored,
+            CreateOutcome::NotStored(cause) => Self::NotStored(cause),
+            CreateOutcome::Unknown(cause) => Self::Unknown(cause),
         }
     }
 }
 
-fn absent(key: &str) -> Precondition {
+fn expect_absent(key: &str) -> Precondition {
     Precondition {
         key: key.to_owned(),
         revision: Revision(0),
--- a/ragwortwick-daemon/src/area/metrics.rs
+++ b/ragwortwick-daemon/src/area/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of an area's entry host, as text for the metrics address.
+//! Counters and histograms of an area's entry host, served as Prometheus text.
 
 use std::panic::AssertUnwindSafe;
 use std::sync::Arc;
@@ -19,51 +19,51 @@
 };
 use ragwortwick_adapter::StoreCallCounts;
 
-/// Bounds of the time that taking a job in may take: a round trip to the store up to the deadline.
+/// Buckets of the time to accept a job, from a round trip to the store to the client's deadline.
 const ACCEPT_BUCKETS_S: [f64; 8] = [0.005, 0.01, 0.025, 0.05, 0.1, 0.5, 1.0, 3.0];
 
-/// Bounds of a job's time from acceptance to its end: seconds to hours.
+/// Buckets of a job's time from acceptance to its end, from seconds to hours.
 const END_BUCKETS_S: [f64; 10] = [
     1.0, 2.5, 5.0, 10.0, 20.0, 60.0, 300.0, 1_800.0, 7_200.0, 28_800.0,
 ];
 
-/// Bounds of the parts of a job's way: from a round trip to a worker to hours.
+/// Buckets of the time a job spends in one part of it, from a round trip to a worker to hours.
 const PART_BUCKETS_S: [f64; 10] = [0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 20.0, 300.0, 7_200.0];
 
-/// `AreaMetrics` is what one host counts; clones share it.
+/// `AreaMetrics` holds the metrics of one host; clones share them.
 #[derive(Clone, Debug)]
 pub(super) struct AreaMetrics {
     registry: Registry,
-    /// Jobs handed in, by customer and outcome.
+    /// Submitted jobs, by customer and outcome.
     pub(super) submissions: IntCounterVec,
-    /// Time to take a job in, by customer.
+    /// Time to accept a job, by customer.
     pub(super) accept_seconds: HistogramVec,
-    /// Time from acceptance to the end, by customer and phase; counted by the coordinator.
+    /// Time from acceptance to the end, by customer and phase; recorded by the coordinator.
     pub(super) job_end_seconds: HistogramVec,
-    /// Parts of a job's time, by customer, queue and part; counted by the coordinator.
+    /// Time in each part of a job, by customer, queue and part; recorded by the coordinator.
     pub(super) job_part_seconds: HistogramVec,
-    /// Runs that are over, by cause; counted by the coordinator.
+    /// Ended runs, by cause; counted by the coordinator.
     pub(super) runs_ended: IntCounterVec,
-    /// Workers that were lost with runs, by cause; counted by the coordinator.
+    /// Workers lost with runs on them, by cause; counted by the coordinator.
     pub(super) workers_lost: IntCounterVec,
-    /// Work that has to be done again, by cause; counted by the coordinator.
+    /// Lost work, which has to be redone, by cause; counted by the coordinator.
     pub(super) lost_core_seconds: CounterVec,
-    /// Calls of a reader of the store without a usable answer, by reader.
+    /// Calls to the store without a usable reply, by feed.
     pub(super) feed_failures: IntCounterVec,
-    /// Version of the desired state in force here; zero before the first.
+    /// Version of the desired state in force on this host; zero before the first.
     pub(super) desired_version: IntGauge,
-    /// Whether this host coordinates.
+    /// Whether this host is the coordinator.
     pub(super) is_coordinator: IntGauge,
     store_calls: IntGaugeVec,
     counts: Arc<StoreCallCounts>,
 }
 
 impl AreaMetrics {
-    /// `open` registers everything.
+    /// `open` registers all metrics.
     ///
     /// # Errors
     ///
-    /// Fails if two metrics have one name.
+    /// Fails if two metrics have the same name.
     pub(super) fn open(counts: Arc<StoreCallCounts>) -> prometheus::Result<Self> {
         let registry = Registry::new();
         let counter = |name: &str, help: &str, labels: &[&str]| {
@@ -168,7 +168,7 @@
     }
 }
 
-/// The handler's view of the metrics. A panic ends the process, so no half-changed state is seen.
+/// The metrics as gotham state. A panic ends the process, so no handler sees half-changed state.
 #[derive(Clone, Debug, StateData)]
 struct SharedMetrics(Arc<AssertUnwindSafe<AreaMetrics>>);
 
--- a/ragwortwick-daemon/src/area/readiness.rs
+++ b/ragwortwick-daemon/src/area/readiness.rs
@@ -1,4 +1,4 @@
-//! The balancer's question whether this host takes new connections.
+//! The load balancer's readiness probe: whether this host accepts new connections.
 
 use std::sync::Arc;
 
@@ -19,7 +19,7 @@
 use super::store_health::StoreHealth;
 use crate::Clock;
 
-/// `Readiness` is what the answer depends on; clones share it.
+/// `Readiness` is the state that the probe's response depends on; clones share it.
 #[derive(Clone, Debug, StateData)]
 pub(super) struct Readiness {
     pub(super) clock: Clock,
@@ -31,18 +31,19 @@
 }
 
 impl Readiness {
-    /// A host that can't reach the store accepts nothing; callers are better sent to another one.
-    fn why_not(&self) -> Option<&'static str> {
+    /// The reason why the host is not ready. Without the store it can't accept jobs, so clients are
+    /// better served by another host.
+    fn not_ready_reason(&self) -> Option<&'static str> {
         if *self.stopping.borrow() {
             Some("stopping")
         } else if self.desired.borrow().is_none() {
-            Some("no desired state")
+            Some("desired state not read")
         } else if !self.age.is_fresh(self.clock.now()) {
-            Some("desired state may be old")
+            Some("desired state may be stale")
         } else if !self.replica.is_loaded() {
             Some("jobs not read")
-        } else if self.health.is_unavailable() || !self.health.has_answered_recently() {
-            Some("store out of reach")
+        } else if self.health.is_unavailable() || !self.health.has_replied_recently() {
+            Some("store unavailable")
         } else {
             None
         }
@@ -57,9 +58,9 @@
 }
 
 async fn ready(state: &mut State) -> SimpleHandlerResult {
-    let (status, text) = match Readiness::borrow_from(state).why_not() {
+    let (status, text) = match Readiness::borrow_from(state).not_ready_reason() {
         None => (StatusCode::OK, "ready\n"),
-        Some(why) => (StatusCode::SERVICE_UNAVAILABLE, why),
+        Some(reason) => (StatusCode::SERVICE_UNAVAILABLE, reason),
     };
     Ok(create_response(state, status, mime::TEXT_PLAIN, text))
 }
--- a/ragwortwick-daemon/src/area/settings.rs
+++ b/ragwortwick-daemon/src/area/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of an entry host on the users' platform, read from a JSON file.
+//! Settings of an area's entry host, read from a JSON file.
 
 use ragwortwick_area::{Limits, Weights};
 use ragwortwick_core::{DurationMs, HostName, ZoneName};
@@ -6,57 +6,57 @@
 
 /// `AreaSettings` is the content of the settings file of an area's entry host.
 ///
-/// Fields that it does not know are left alone: the platform adds some from time to time.
+/// Unknown fields are ignored, because the platform adds some from time to time.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct AreaSettings {
     /// Name of this entry host.
     pub host: HostName,
     /// Availability zone of this entry host.
     pub zone: ZoneName,
-    /// ip:port for callers.
+    /// ip:port of the job API for clients.
     pub listen: String,
-    /// ip:port of the balancer's question whether this host is ready.
+    /// ip:port of the readiness probe for the load balancer.
     pub ready_listen: String,
-    /// ip:port of the metrics; without one they are not served.
+    /// ip:port of the metrics; without it they are not served.
     #[serde(default)]
     pub metrics_listen: Option<String>,
     /// ip:port of the platform's store.
     pub store_address: String,
-    /// ip:port of the advisor on which workers may run what; without one no queue may need it.
+    /// ip:port of the advisor, which names the workers that may run a step; without it no queue may need one.
     #[serde(default)]
     pub advice_address: Option<String>,
-    /// Share of a core that this host has.
+    /// CPU of this host, in cores.
     #[serde(default = "whole_core")]
     pub cpu_share: f64,
-    /// How long a planned stop may take before the process is killed, in seconds.
+    /// Time after which a planned stop ends with a kill of the process, in seconds.
     pub stop_grace_s: f64,
-    /// Longest lease that a worker grants to what runs there.
+    /// Longest lease of a run on a worker.
     pub worker_lease_ms: DurationMs,
-    /// Longest time that a stop takes on a worker.
+    /// Longest time in which a worker stops a run.
     pub worker_stop_ms: DurationMs,
-    /// How long the start of a member may lag behind the first of its gang.
+    /// Longest delay between the start of a gang's first member and that of any other.
     pub gang_wait_ms: DurationMs,
-    /// How soon a guaranteed job must have begun.
+    /// Time within which a guaranteed job must have started.
     pub reclaim_ms: DurationMs,
-    /// How many times longer work takes away from its rack.
+    /// Factor by which work takes longer outside of its data's rack.
     pub remote_penalty: f64,
-    /// Work between two checkpoints, in seconds.
+    /// Interval between two checkpoints, in seconds of work.
     pub checkpoint_s: f64,
     /// Time to resume from a checkpoint.
     pub restore_ms: DurationMs,
-    /// How long a job's final state can be asked for, in seconds.
+    /// How long a job's final state stays available after its end, in seconds.
     pub retention_s: f64,
-    /// What work is worth, for the order in which it is placed and for what others are stopped.
+    /// Weights of a job's value, for the order of placement and for preemption.
     #[serde(default)]
     pub weights: Weights,
 }
 
 impl AreaSettings {
-    /// `parse` reads the file's text.
+    /// `parse` reads the settings from the file's text.
     ///
     /// # Errors
     ///
-    /// Fails with the first mistake and its path.
+    /// Fails with the first invalid value and its path.
     pub fn parse(text: &str) -> Result<Self, String> {
         let mut reader = serde_json::Deserializer::from_str(text);
         let settings: Self =
@@ -67,7 +67,7 @@
         }
     }
 
-    /// `limits` are the bounds that decisions depend on.
+    /// `limits` returns the limits that scheduling decisions depend on.
     #[must_use]
     pub fn limits(&self) -> Limits {
         Limits {
@@ -88,11 +88,11 @@
     1.0
 }
 
-/// Whole milliseconds of a span in seconds.
+/// Converts seconds to whole milliseconds.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "a negative span counts as none, and spans are hours at most"
+    reason = "negative values become zero, and values are hours at most"
 )]
 pub(super) fn seconds_to_ms(seconds: f64) -> DurationMs {
     DurationMs((seconds.max(0.0) * 1_000.0) as u64)
--- a/ragwortwick-daemon/src/area/store_health.rs
+++ b/ragwortwick-daemon/src/area/store_health.rs
@@ -1,4 +1,4 @@
-//! Whether the store can be reached from this host, as seen from all its calls.
+//! Tracks from all calls of this host whether the store is available.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -8,20 +8,19 @@
 
 use crate::Clock;
 
-/// Without an answer for so long the store counts as away; a watch answers or ends within it.
-const AWAY_AFTER_MS: DurationMs = DurationMs(2_600);
+/// Without a reply for this time the host is not ready. A watch returns or ends within it.
+const NOT_READY_AFTER_MS: DurationMs = DurationMs(2_600);
 
-/// Without an answer for so long, and with the newest call failed, nothing new is sent for callers.
+/// Without a reply for this time, and with the newest call failed, no more calls are made for clients.
 ///
-/// A watch brings an answer every second, so this is more than one lost answer.
-const SILENT_AFTER_MS: DurationMs = DurationMs(1_300);
+/// A watch brings a reply every second, so this is more than one lost reply.
+const UNAVAILABLE_AFTER_MS: DurationMs = DurationMs(1_300);
 
-/// `StoreHealth` remembers the last answer; clones share it.
+/// `StoreHealth` records the last reply and whether the newest call failed; clones share it.
 #[derive(Clone, Debug)]
 pub(super) struct StoreHealth {
     clock: Clock,
-    last_answer_ms: Arc<AtomicU64>,
-    /// Whether the newest call failed.
+    last_reply_at_ms: Arc<AtomicU64>,
     is_failing: Arc<AtomicBool>,
 }
 
@@ -29,43 +28,43 @@
     pub(super) fn open(clock: Clock) -> Self {
         Self {
             clock,
-            last_answer_ms: Arc::default(),
+            last_reply_at_ms: Arc::default(),
             is_failing: Arc::default(),
         }
     }
 
-    /// Notes how a call went.
+    /// Records the result of a call.
     pub(super) fn record<T>(&self, result: &Result<T, StoreError>) {
-        let is_answer = match result {
+        let is_reply = match result {
             Ok(_) | Err(StoreError::LeaseNotFound) => true,
             Err(failure) => failure.is_relist_required(),
         };
-        let was_failing = self.is_failing.swap(!is_answer, Ordering::Relaxed);
-        if is_answer {
-            self.last_answer_ms
+        let was_failing = self.is_failing.swap(!is_reply, Ordering::Relaxed);
+        if is_reply {
+            self.last_reply_at_ms
                 .store(self.clock.now().0, Ordering::Relaxed);
         }
-        if was_failing == is_answer {
+        if was_failing == is_reply {
             let cause = result.as_ref().err().map(ToString::to_string);
             log_event!(
                 Info,
                 "store_reachable",
-                is_reachable = is_answer,
+                is_reachable = is_reply,
                 cause = cause.unwrap_or_default()
             );
         }
     }
 
-    /// Whether the store answered lately.
-    pub(super) fn has_answered_recently(&self) -> bool {
-        let last = TimeMs(self.last_answer_ms.load(Ordering::Relaxed));
-        self.clock.now().since(last) <= AWAY_AFTER_MS
+    /// Whether the store has replied within `NOT_READY_AFTER_MS`.
+    pub(super) fn has_replied_recently(&self) -> bool {
+        let last_reply_at = TimeMs(self.last_reply_at_ms.load(Ordering::Relaxed));
+        self.clock.now().since(last_reply_at) <= NOT_READY_AFTER_MS
     }
 
-    /// Whether a call for a caller would be in vain.
+    /// Whether a call for a client would most likely fail.
     pub(super) fn is_unavailable(&self) -> bool {
-        let last = TimeMs(self.last_answer_ms.load(Ordering::Relaxed));
-        self.is_failing() && self.clock.now().since(last) > SILENT_AFTER_MS
+        let last_reply_at = TimeMs(self.last_reply_at_ms.load(Ordering::Relaxed));
+        self.is_failing() && self.clock.now().since(last_reply_at) > UNAVAILABLE_AFTER_MS
     }
 
     /// Whether the newest call failed.
