--- a/ragwortwick-daemon/src/area/action_dispatcher.rs
+++ b/ragwortwick-daemon/src/area/action_dispatcher.rs
@@ -1,4 +1,4 @@
-//! Where the actions of a term's coordinator go: the store, the workers, logs and metrics.
+//! Dispatches the actions of a term's coordinator to the store, the workers, the logs and the metrics.
 
 use ragwortwick_area::{Action, RunEndReason, RunEnded, WorkerLossReport};
 use ragwortwick_core::{DurationMs, log_event};
@@ -11,10 +11,10 @@
 use super::order_sender::OrderSender;
 use super::unstored_completions::UnstoredCompletions;
 
-/// `ActionDispatcher` routes the coordinator's actions to the store, workers, logs and metrics.
+/// `ActionDispatcher` dispatches the actions of one term.
 pub(super) struct ActionDispatcher {
     writes: mpsc::UnboundedSender<StoreWrite>,
-    sender: OrderSender,
+    order_sender: OrderSender,
     run_end_log_limiter: LogRateLimiter,
     metrics: AreaMetrics,
     pub(super) unstored: UnstoredCompletions,
@@ -23,20 +23,20 @@
 impl ActionDispatcher {
     pub(super) fn open(
         writes: mpsc::UnboundedSender<StoreWrite>,
-        sender: OrderSender,
+        order_sender: OrderSender,
         metrics: AreaMetrics,
         unstored: UnstoredCompletions,
     ) -> Self {
         Self {
             writes,
-            sender,
+            order_sender,
             run_end_log_limiter: LogRateLimiter::new("run_over"),
             metrics,
             unstored,
         }
     }
 
-    /// Sends actions on their way; tells whether the term goes on.
+    /// Dispatches a batch of actions; returns whether the term continues.
     pub(super) fn dispatch(&self, batch: Vec<Action>, orders: &mut JoinSet<()>) -> bool {
         for action in batch {
             match action {
@@ -46,10 +46,10 @@
                 }
                 Action::DeleteJob(job_id) => self.write(StoreWrite::DeleteJob(job_id)),
                 Action::Resign => return false,
-                Action::LogRunEnd(over) => self.report(&over),
-                Action::LogWorkerLoss(lost) => self.report_loss(&lost),
+                Action::LogRunEnd(ended) => self.report_run_end(&ended),
+                Action::LogWorkerLoss(lost) => self.report_worker_loss(&lost),
                 order => {
-                    orders.spawn(self.sender.clone().execute(order));
+                    orders.spawn(self.order_sender.clone().execute(order));
                 }
             }
         }
@@ -57,36 +57,39 @@
     }
 
     fn write(&self, write: StoreWrite) {
-        // The writer ends first only if the key is lost, which ends the term as well.
+        // The writer only ends before the term if the key is lost, which ends the term as well.
         let _ = self.writes.send(write);
     }
 
-    fn report(&self, over: &RunEnded) {
-        if over.reason == RunEndReason::Done {
-            self.unstored.add(&over.task, over.run);
+    fn report_run_end(&self, ended: &RunEnded) {
+        if ended.reason == RunEndReason::Done {
+            self.unstored.add(&ended.task, ended.run);
         }
-        let cause = over.reason.to_string();
+        let cause = ended.reason.to_string();
         let labels = [cause.as_str()];
         self.metrics.runs_ended.with_label_values(&labels).inc();
-        let lost = self.metrics.lost_core_seconds.with_label_values(&labels);
-        lost.inc_by(DurationMs(over.lost_core_ms).as_secs_f64());
-        if self.run_end_log_limiter.admit(self.sender.clock.now()) {
+        let lost_work = self.metrics.lost_core_seconds.with_label_values(&labels);
+        lost_work.inc_by(DurationMs(ended.lost_core_ms).as_secs_f64());
+        if self
+            .run_end_log_limiter
+            .admit(self.order_sender.clock.now())
+        {
             log_event!(
                 Info,
                 "run_over",
-                task = over.task,
-                run = over.run,
-                worker = over.worker,
-                term = self.sender.term,
+                task = ended.task,
+                run = ended.run,
+                worker = ended.worker,
+                term = self.order_sender.term,
                 cause = cause,
-                ran_ms = shown(over.ran_ms),
-                lost_core_ms = over.lost_core_ms
+                ran_ms = format_ms(ended.ran_ms),
+                lost_core_ms = ended.lost_core_ms
             );
         }
     }
 
-    /// Tells what operators need to see whether the task or the worker was at fault.
-    fn report_loss(&self, lost: &WorkerLossReport) {
+    /// Logs a lost worker with what operators need to find out whether a task or the worker was at fault.
+    fn report_worker_loss(&self, lost: &WorkerLossReport) {
         let cause = lost.cause.to_string();
         let labels = [cause.as_str()];
         self.metrics.workers_lost.with_label_values(&labels).inc();
@@ -97,7 +100,7 @@
             "worker_lost",
             worker = lost.worker,
             rack = lost.rack,
-            term = self.sender.term,
+            term = self.order_sender.term,
             cause = cause,
             silence = lost.contact_loss.map_or_else(
                 || "none".to_owned(),
@@ -105,15 +108,15 @@
             ),
             runs = lost.runs.len(),
             youngest = youngest.map_or_else(String::new, |(task, _)| task.to_string()),
-            youngest_ms = shown(ages.min().flatten()),
+            youngest_ms = format_ms(ages.min().flatten()),
             lost_together = lost.lost_together,
-            blamed = blamed(lost)
+            blamed = format_blamed(lost)
         );
     }
 }
 
-/// The tasks that a crash counts against, as logs show them; `none` for none.
-fn blamed(lost: &WorkerLossReport) -> String {
+/// Formats the tasks that a crash is attributed to for the log; `none` if there are none.
+fn format_blamed(lost: &WorkerLossReport) -> String {
     let tasks = lost.suspects.iter();
     let tasks: Vec<String> = tasks
         .map(|(task, count)| format!("{task}:{count}"))
@@ -125,7 +128,7 @@
     }
 }
 
-/// A span as logs show it; `unknown` for none.
-fn shown(span_ms: Option<DurationMs>) -> String {
+/// Formats a duration for the log; `unknown` if there is none.
+fn format_ms(span_ms: Option<DurationMs>) -> String {
     span_ms.map_or_else(|| "unknown".to_owned(), |span_ms| span_ms.to_string())
 }
--- a/ragwortwick-daemon/src/area/batch_writer.rs
+++ b/ragwortwick-daemon/src/area/batch_writer.rs
@@ -1,4 +1,4 @@
-//! What a term writes: batches of progress, and the removal of old jobs.
+//! Writes of a term to the store: batches of job progress, and the deletion of old jobs.
 
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -15,42 +15,46 @@
 use super::unstored_completions::UnstoredCompletions;
 use crate::unix_now;
 
-/// `StoreWrite` is a change that the store has to take.
+/// `StoreWrite` is a write that a term queues for the store.
 pub(super) enum StoreWrite {
-    /// Records of jobs.
+    /// A batch of progress records.
     Batch {
         batch: u64,
         records: Vec<ProgressRecord>,
     },
-    /// A job that ended long ago.
+    /// Deletion of a job whose retention has ended.
     DeleteJob(JobId),
 }
 
-/// `JobEndReporter` tells of jobs that came to their end, once that is stored; clones share what was told.
+/// `JobEndReporter` logs and counts each job's end once, after it is stored; clones share the reported jobs.
 #[derive(Clone)]
 pub(super) struct JobEndReporter {
     replica: JobReplica,
     metrics: AreaMetrics,
-    /// Jobs whose end was told, by this term or before it.
-    told: Arc<Mutex<HashSet<JobId>>>,
+    /// Jobs whose end was reported, in this term or before it.
+    reported: Arc<Mutex<HashSet<JobId>>>,
 }
 
 impl JobEndReporter {
-    /// `told` are the jobs whose end was told before this term.
-    pub(super) fn open(replica: JobReplica, metrics: AreaMetrics, told: HashSet<JobId>) -> Self {
+    /// `reported` holds the jobs whose end was reported before this term.
+    pub(super) fn open(
+        replica: JobReplica,
+        metrics: AreaMetrics,
+        reported: HashSet<JobId>,
+    ) -> Self {
         Self {
             replica,
             metrics,
-            told: Arc::new(Mutex::new(told)),
+            reported: Arc::new(Mutex::new(reported)),
         }
     }
 
-    fn told(&self) -> MutexGuard<'_, HashSet<JobId>> {
-        self.told.lock().unwrap_or_else(PoisonError::into_inner)
+    fn reported(&self) -> MutexGuard<'_, HashSet<JobId>> {
+        self.reported.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn forget(&self, job_id: &JobId) {
-        self.told().remove(job_id);
+    fn remove(&self, job_id: &JobId) {
+        self.reported().remove(job_id);
     }
 
     pub(super) fn report(&self, stored: &ProgressRecord) {
@@ -58,9 +62,9 @@
         if !phase.is_final() {
             return;
         }
-        // A record is stored again while runs of an ended job still stop; that is no second end. The
-        // replica can't tell: its watch may have shown the stored end before this is reached.
-        if !self.told().insert(stored.job_id.clone()) {
+        // A record is stored again while runs of an ended job are still stopping, which is no second end.
+        // The replica can't show this: its watch may have delivered the stored end already.
+        if !self.reported().insert(stored.job_id.clone()) {
             return;
         }
         let view = self.replica.view(&stored.job_id);
@@ -71,43 +75,48 @@
         };
         let took_ms = unix_now().since(record.accepted_unix_ms);
         let labels = [record.customer.as_str(), phase.as_str()];
-        let timed = self.metrics.job_end_seconds.with_label_values(&labels);
-        timed.observe(took_ms.as_secs_f64());
-        if let Some(account) = &stored.accounting {
-            log_account(&record, &phase, took_ms, account);
-            self.time_parts(&record, account);
+        let histogram = self.metrics.job_end_seconds.with_label_values(&labels);
+        histogram.observe(took_ms.as_secs_f64());
+        if let Some(accounting) = &stored.accounting {
+            log_accounting(&record, &phase, took_ms, accounting);
+            self.observe_parts(&record, accounting);
         } else {
             log_event!(Info, "job_over", job_id = stored.job_id, phase = phase);
         }
     }
 
-    fn time_parts(&self, record: &JobRecord, account: &JobAccounting) {
-        // What an earlier coordinator saw of the job is missing in the others.
-        if !account.is_complete {
+    fn observe_parts(&self, record: &JobRecord, accounting: &JobAccounting) {
+        // Incomplete accounting lacks the time under an earlier coordinator.
+        if !accounting.is_complete {
             return;
         }
         let parts = [
-            ("room", account.queued_ms),
-            ("again", account.requeued_ms),
-            ("begin", account.starting_ms),
-            ("run", account.running_ms),
+            ("room", accounting.queued_ms),
+            ("again", accounting.requeued_ms),
+            ("begin", accounting.starting_ms),
+            ("run", accounting.running_ms),
         ];
         for (part, spent_ms) in parts {
             let labels = [record.customer.as_str(), record.queue.as_str(), part];
-            let timed = self.metrics.job_part_seconds.with_label_values(&labels);
-            timed.observe(spent_ms.as_secs_f64());
+            let histogram = self.metrics.job_part_seconds.with_label_values(&labels);
+            histogram.observe(spent_ms.as_secs_f64());
         }
     }
 }
 
-/// One line for each job, whatever else is left out: what `ragwortwick ends` reads.
-fn log_account(record: &JobRecord, phase: &str, took_ms: DurationMs, account: &JobAccounting) {
-    let losses: Vec<String> = account
+/// Logs one line for each job, without a rate limit, because `ragwortwick ends` reads it.
+fn log_accounting(
+    record: &JobRecord,
+    phase: &str,
+    took_ms: DurationMs,
+    accounting: &JobAccounting,
+) {
+    let losses: Vec<String> = accounting
         .lost_work
         .iter()
-        .map(|(why, loss)| format!("{why}:{}:{}", loss.runs, loss.core_ms))
+        .map(|(reason, loss)| format!("{reason}:{}:{}", loss.runs, loss.core_ms))
         .collect();
-    let displaced_by = account.preempted_by.as_ref().map_or("-", JobId::as_str);
+    let displaced_by = accounting.preempted_by.as_ref().map_or("-", JobId::as_str);
     log_event!(
         Info,
         "job_over",
@@ -119,29 +128,29 @@
         stretch = record.policy.stretch,
         target_ms = record.policy.target_latency_ms,
         has_set_times = record.schedule.is_some(),
-        is_whole = account.is_complete,
-        room_ms = account.queued_ms,
-        again_ms = account.requeued_ms,
-        begin_ms = account.starting_ms,
-        run_ms = account.running_ms,
-        lost_ms = account.lost_ms,
-        starts = account.starts,
+        is_whole = accounting.is_complete,
+        room_ms = accounting.queued_ms,
+        again_ms = accounting.requeued_ms,
+        begin_ms = accounting.starting_ms,
+        run_ms = accounting.running_ms,
+        lost_ms = accounting.lost_ms,
+        starts = accounting.starts,
         losses = losses.join(","),
         displaced_by = displaced_by
     );
 }
 
-/// `BatchWriter` writes a term's batches, several side by side: they hold records of different jobs.
+/// `BatchWriter` writes a term's batches, several concurrently: they contain records of different jobs.
 #[derive(Clone)]
 pub(super) struct BatchWriter {
     pub(super) progress_store: ProgressStore,
     pub(super) events: EventSender,
-    pub(super) ends: JobEndReporter,
+    pub(super) job_ends: JobEndReporter,
     pub(super) unstored: UnstoredCompletions,
 }
 
 impl BatchWriter {
-    /// Writes what comes until the key is lost; tells then.
+    /// Writes until the coordinator key is lost, and then ends the term.
     pub(super) async fn run(
         self,
         mut writes: mpsc::UnboundedReceiver<StoreWrite>,
@@ -155,11 +164,11 @@
                     Some(StoreWrite::Batch { batch, records }) => {
                         batches.spawn(self.clone().store(batch, records));
                     }
-                    Some(StoreWrite::DeleteJob(job_id)) => self.forget(&job_id).await,
+                    Some(StoreWrite::DeleteJob(job_id)) => self.delete_job(&job_id).await,
                 },
                 Some(written) = batches.join_next() => {
                     if !matches!(written, Ok(Ok(()))) {
-                        let _ = end.send("the key is lost").await;
+                        let _ = end.send("the coordinator key is lost").await;
                         return;
                     }
                 }
@@ -171,14 +180,14 @@
         self.progress_store.store(&records).await?;
         self.unstored.remove_batch(batch);
         for record in &records {
-            self.ends.report(record);
+            self.job_ends.report(record);
         }
         self.events.send(Event::BatchStored { batch }).await;
         Ok(())
     }
 
-    async fn forget(&self, job_id: &JobId) {
+    async fn delete_job(&self, job_id: &JobId) {
         self.progress_store.delete_job(job_id).await;
-        self.ends.forget(job_id);
+        self.job_ends.remove(job_id);
     }
 }
--- a/ragwortwick-daemon/src/area/coordinator_handler.rs
+++ b/ragwortwick-daemon/src/area/coordinator_handler.rs
@@ -1,4 +1,4 @@
-//! The coordinator's duty: a thread that drives the state machine and hands its actions out.
+//! Runs the coordinator's state machine on an event loop thread and passes its actions on.
 
 use std::time::{Duration, Instant};
 
@@ -8,15 +8,15 @@
 
 use crate::{Clock, EventHandler, EventLoopSender, SendError, unix_now};
 
-/// Pause before an event that found the ring full is offered again.
-const FULL_PAUSE: Duration = Duration::from_millis(2);
+/// Delay before an event that the full ring rejected is offered again.
+const RING_FULL_DELAY: Duration = Duration::from_millis(2);
 
-/// `EventSender` feeds the coordinator from the I/O runtime, without blocking its thread.
+/// `EventSender` sends events from the I/O runtime to the coordinator, without blocking a runtime thread.
 #[derive(Clone, Debug)]
 pub(super) struct EventSender(pub(super) EventLoopSender<Event>);
 
 impl EventSender {
-    /// Sends an event; tells whether the coordinator still takes any.
+    /// Sends an event; returns whether the coordinator still accepts events.
     pub(super) async fn send(&self, event: Event) -> bool {
         let mut event = event;
         loop {
@@ -25,47 +25,47 @@
                 Err(SendError(_)) if self.0.is_closed() => return false,
                 Err(SendError(rejected)) => event = rejected,
             }
-            tokio::time::sleep(FULL_PAUSE).await;
+            tokio::time::sleep(RING_FULL_DELAY).await;
         }
     }
 }
 
-/// `CoordinatorHandler` is the coordinator as a duty.
+/// `CoordinatorHandler` runs the coordinator as an event handler.
 #[derive(Debug)]
 pub(super) struct CoordinatorHandler {
     pub(super) coordinator: Coordinator,
     pub(super) actions: mpsc::UnboundedSender<Vec<Action>>,
     pub(super) clock: Clock,
-    /// The time of the last call, which the next wakeup counts from.
+    /// Time of the last call, from which the next wakeup is computed.
     pub(super) last_call: Now,
     pub(super) load: LoadStats,
 }
 
-/// How often the coordinator's load is logged while it has work.
-const LOAD_LOG_MS: DurationMs = DurationMs(10_000);
+/// Interval between log lines on the coordinator's load, while it has work.
+const LOAD_LOG_INTERVAL_MS: DurationMs = DurationMs(10_000);
 
-/// `LoadStats` is what the coordinator did since its last log line.
+/// `LoadStats` counts the coordinator's calls and their time since the last log line.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct LoadStats {
-    since: TimeMs,
+    started_at: TimeMs,
     calls: u64,
     busy_us: u64,
     longest_us: u64,
 }
 
 impl LoadStats {
-    fn add(&mut self, now: TimeMs, begun: Instant, coordinator: &Coordinator) {
-        let span_us = u64::try_from(begun.elapsed().as_micros()).unwrap_or(u64::MAX);
+    fn add_call(&mut self, now: TimeMs, started: Instant, coordinator: &Coordinator) {
+        let span_us = u64::try_from(started.elapsed().as_micros()).unwrap_or(u64::MAX);
         self.calls += 1;
         self.busy_us += span_us;
         self.longest_us = self.longest_us.max(span_us);
-        if now.since(self.since) < LOAD_LOG_MS {
+        if now.since(self.started_at) < LOAD_LOG_INTERVAL_MS {
             return;
         }
         log_event!(
             Info,
             "coordinator_load",
-            span_ms = now.since(self.since),
+            span_ms = now.since(self.started_at),
             calls = self.calls,
             busy_ms = self.busy_us / 1_000,
             longest_ms = self.longest_us / 1_000,
@@ -73,21 +73,21 @@
             workers = coordinator.workers()
         );
         *self = Self {
-            since: now,
+            started_at: now,
             ..Self::default()
         };
     }
 }
 
 impl CoordinatorHandler {
-    fn hand_out(&self, actions: Vec<Action>) {
+    fn send_actions(&self, actions: Vec<Action>) {
         if !actions.is_empty() {
-            // The receiver ends with the term; then nobody carries out anything any more.
+            // The receiver is dropped at the end of the term, when no action is executed any more.
             let _ = self.actions.send(actions);
         }
     }
 
-    fn at(&mut self, now: TimeMs) -> Now {
+    fn timestamps(&mut self, now: TimeMs) -> Now {
         self.last_call = Now {
             steady: now,
             unix: unix_now(),
@@ -100,21 +100,21 @@
     type Event = Event;
 
     fn on_event(&mut self, now: TimeMs, event: Event) {
-        let begun = Instant::now();
-        let now = self.at(now);
+        let started = Instant::now();
+        let now = self.timestamps(now);
         let actions = self.coordinator.on_event(now, event);
-        self.hand_out(actions);
+        self.send_actions(actions);
         self.coordinator.record_call_end(self.clock.now());
-        self.load.add(now.steady, begun, &self.coordinator);
+        self.load.add_call(now.steady, started, &self.coordinator);
     }
 
     fn on_wakeup(&mut self, now: TimeMs) {
-        let begun = Instant::now();
-        let now = self.at(now);
+        let started = Instant::now();
+        let now = self.timestamps(now);
         let actions = self.coordinator.on_wakeup(now);
-        self.hand_out(actions);
+        self.send_actions(actions);
         self.coordinator.record_call_end(self.clock.now());
-        self.load.add(now.steady, begun, &self.coordinator);
+        self.load.add_call(now.steady, started, &self.coordinator);
     }
 
     fn next_wakeup(&self) -> Option<TimeMs> {
--- a/ragwortwick-daemon/src/area/election.rs
+++ b/ragwortwick-daemon/src/area/election.rs
@@ -1,4 +1,4 @@
-//! Who coordinates: every host tries to take the key when it is free.
+//! Election of the coordinator: every host tries to create the coordinator key while it is free.
 
 use ragwortwick_adapter::{Precondition, StoreError, Txn, TxnReply, WriteItem};
 use ragwortwick_core::{DurationMs, HostName, Revision, log_event};
@@ -8,33 +8,33 @@
 use super::replica_feed::CoordinatorKeyState;
 use super::term::{CoordinatorLease, TermContext, run_term};
 
-/// Time to live of the coordinator's lease: the longest time without one after it dies.
+/// Time to live of the coordinator's lease: the longest time without a coordinator after it dies.
 const LEASE_TTL_MS: DurationMs = DurationMs(2_000);
 
-/// Longest random pause before a free key is tried, so that not all hosts try at once.
-const TRY_SPREAD_MS: u64 = 60;
+/// Longest random delay before a try, so that the hosts don't all try at once.
+const MAX_JITTER_MS: u64 = 60;
 
-/// How much later a host tries for each time that its share of a core is below `FULL_SHARE`.
+/// Delay of a host's try for each unit of its CPU deficit, `FULL_SPEED_CPU_SHARE / cpu_share - 1`.
 ///
-/// Coordinating 350 workers takes a tenth of a core or more; a host that has just that would be the
-/// bottleneck of the whole area, and costs it more than a fraction of a second without coordinator.
-const WAIT_PER_LACK_MS: f64 = 150.0;
+/// Coordinating 350 workers takes a tenth of a core or more. A host with no more than that would be the
+/// bottleneck of the whole area, which costs more than a fraction of a second without a coordinator.
+const DELAY_PER_CPU_DEFICIT_MS: f64 = 150.0;
 
-/// Share of a core from which on a host tries at once.
-const FULL_SHARE: f64 = 0.5;
+/// Share of a core from which a host tries without this delay.
+const FULL_SPEED_CPU_SHARE: f64 = 0.5;
 
-/// Longest that a weak host holds back.
-const MOST_WAIT_MS: f64 = 500.0;
+/// Longest delay of a host with a small share of a core.
+const MAX_CPU_DELAY_MS: f64 = 500.0;
 
-/// Pause after a try that failed.
-const FAILED_PAUSE_MS: DurationMs = DurationMs(200);
+/// Delay after a failed try.
+const RETRY_DELAY_MS: DurationMs = DurationMs(200);
 
-/// Tries to coordinate until the host stops.
-pub(super) async fn run(parts: TermContext, host: HostName, cpu_share: f64) {
-    let held_back_ms = held_back_ms(cpu_share);
-    let mut key = parts.coordinator_key.clone();
-    let mut desired = parts.desired.clone();
-    let mut stopping = parts.stopping.clone();
+/// Tries to become the coordinator until the host stops.
+pub(super) async fn run(context: TermContext, host: HostName, cpu_share: f64) {
+    let cpu_delay_ms = cpu_delay_ms(cpu_share);
+    let mut key = context.coordinator_key.clone();
+    let mut desired = context.desired.clone();
+    let mut stopping = context.stopping.clone();
     loop {
         if *stopping.borrow_and_update() {
             return;
@@ -49,48 +49,48 @@
             }
             continue;
         }
-        let spread_ms = rand::rng().random_range(0..=TRY_SPREAD_MS);
-        tokio::time::sleep(DurationMs(held_back_ms + spread_ms).into()).await;
+        let jitter_ms = rand::rng().random_range(0..=MAX_JITTER_MS);
+        tokio::time::sleep(DurationMs(cpu_delay_ms + jitter_ms).into()).await;
         if *key.borrow() != CoordinatorKeyState::Free {
             continue;
         }
-        match take(&parts, &host).await {
-            Ok(Some(won)) => {
-                run_term(&parts, won).await;
-                // The own watch shows the freed key, or its next holder, a little later.
-                tokio::time::sleep(FAILED_PAUSE_MS.into()).await;
+        match try_acquire(&context, &host).await {
+            Ok(Some(lease)) => {
+                run_term(&context, lease).await;
+                // This host's watch reports the released key, or its next holder, a little later.
+                tokio::time::sleep(RETRY_DELAY_MS.into()).await;
             }
-            Ok(None) => tokio::time::sleep(FAILED_PAUSE_MS.into()).await,
+            Ok(None) => tokio::time::sleep(RETRY_DELAY_MS.into()).await,
             Err(error) => {
                 log_event!(Info, "election_failed", cause = error);
-                tokio::time::sleep(FAILED_PAUSE_MS.into()).await;
+                tokio::time::sleep(RETRY_DELAY_MS.into()).await;
             }
         }
     }
 }
 
-/// A weak host leaves the key to a stronger one, which will have taken it by then.
+/// Delay that lets a host with more CPU create the key first.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
     reason = "the span is between zero and half a second"
 )]
-fn held_back_ms(cpu_share: f64) -> u64 {
-    let lack = (FULL_SHARE / cpu_share.max(0.01) - 1.0).max(0.0);
-    (lack * WAIT_PER_LACK_MS).min(MOST_WAIT_MS) as u64
+fn cpu_delay_ms(cpu_share: f64) -> u64 {
+    let deficit = (FULL_SPEED_CPU_SHARE / cpu_share.max(0.01) - 1.0).max(0.0);
+    (deficit * DELAY_PER_CPU_DEFICIT_MS).min(MAX_CPU_DELAY_MS) as u64
 }
 
-/// Takes the key if it is free; the revision of that change is the term.
-async fn take(
-    parts: &TermContext,
+/// Creates the key if it is free; the revision of that change is the term.
+async fn try_acquire(
+    context: &TermContext,
     host: &HostName,
 ) -> Result<Option<CoordinatorLease>, StoreError> {
-    let granted_at = parts.clock.now();
-    let granted = parts.store.grant_lease(LEASE_TTL_MS).await;
-    parts.health.record(&granted);
-    let (lease, ttl_ms) = granted?;
-    // The lease's number makes the value our own, so that it can be told after a lost answer.
-    let value = format!("{{\"host\":\"{host}\",\"lease\":{lease}}}").into_bytes();
+    let granted_at = context.clock.now();
+    let granted = context.store.grant_lease(LEASE_TTL_MS).await;
+    context.health.record(&granted);
+    let (lease_id, ttl_ms) = granted?;
+    // The lease id makes the value unique, so that after a lost reply a read shows who created the key.
+    let value = format!("{{\"host\":\"{host}\",\"lease\":{lease_id}}}").into_bytes();
     let txn = Txn {
         preconditions: vec![Precondition {
             key: COORDINATOR_KEY.to_owned(),
@@ -99,28 +99,28 @@
         writes: vec![WriteItem {
             key: COORDINATOR_KEY.to_owned(),
             value: value.clone(),
-            lease: Some(lease),
+            lease: Some(lease_id),
         }],
         removes: Vec::new(),
     };
-    let reply = parts.store.commit(&txn).await;
-    parts.health.record(&reply);
+    let reply = context.store.commit(&txn).await;
+    context.health.record(&reply);
     let revision = match reply {
         Ok(TxnReply::Committed(revision)) => Some(revision),
         Ok(TxnReply::Conflict(_)) => None,
         Err(StoreError::OutcomeUnknown(_)) => {
-            let item = parts.store.get(COORDINATOR_KEY).await?;
+            let item = context.store.get(COORDINATOR_KEY).await?;
             item.filter(|item| item.value == value)
                 .map(|item| item.revision)
         }
         Err(error) => return Err(error),
     };
     if revision.is_none() {
-        // A lease that holds nothing would only lie about until it ends.
-        drop(parts.store.revoke_lease(lease).await);
+        // Ends the unused lease instead of letting it expire.
+        drop(context.store.revoke_lease(lease_id).await);
     }
     Ok(revision.map(|revision| CoordinatorLease {
-        lease,
+        lease_id,
         ttl_ms,
         revision,
         granted_at,
--- a/ragwortwick-daemon/src/area/order_sender.rs
+++ b/ragwortwick-daemon/src/area/order_sender.rs
@@ -1,4 +1,4 @@
-//! Carries out the coordinator's orders to workers and reports how they went.
+//! Sends the coordinator's orders to workers and reports their outcomes to the coordinator.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -16,27 +16,27 @@
 use super::log_rate_limiter::LogRateLimiter;
 use crate::Clock;
 
-/// Longest wait of an order for those before it.
+/// Longest wait of an order for earlier orders to the same worker.
 ///
-/// Orders to a worker that hangs would else be sent seconds after they were decided, to one that is
-/// leaving by then or for a job that was cancelled meanwhile. What waited in vain is decided anew.
-const LANE_WAIT_MS: DurationMs = DurationMs(300);
+/// Without a limit, orders to an unresponsive worker would be sent seconds after they were decided, when
+/// the worker may be leaving or the job cancelled. The coordinator decides again on an order not sent.
+const MAX_ORDER_WAIT_MS: DurationMs = DurationMs(300);
 
-/// `OrderLocks` lets one order after the other go to a worker.
+/// `OrderLocks` serializes the orders to each worker.
 ///
-/// A worker that gets eight tasks at once would else be sent eight orders over eight connections, of
-/// which all but two are closed again.
+/// Otherwise eight tasks for one worker would be ordered over eight connections at once, of which all but
+/// two are closed afterwards.
 #[derive(Clone, Debug, Default)]
 pub(super) struct OrderLocks(Arc<Mutex<HashMap<WorkerName, Arc<AsyncMutex<()>>>>>);
 
 impl OrderLocks {
     fn lock_of(&self, worker: &WorkerName) -> Arc<AsyncMutex<()>> {
-        let mut order_locks = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        Arc::clone(order_locks.entry(worker.clone()).or_default())
+        let mut locks = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        Arc::clone(locks.entry(worker.clone()).or_default())
     }
 }
 
-/// `OrderSender` sends orders in the name of one term; clones share its connections.
+/// `OrderSender` sends the orders of one term; clones share its connections.
 #[derive(Clone, Debug)]
 pub(super) struct OrderSender {
     pub(super) workers: WorkerClient,
@@ -51,7 +51,7 @@
 }
 
 impl OrderSender {
-    /// Opens connections of its own for a term.
+    /// Creates a sender for a term, with its own connections.
     pub(super) fn open(
         clock: Clock,
         advice_address: Option<&str>,
@@ -84,7 +84,7 @@
                 lease_until_ms,
                 ticket,
             } => {
-                let order = StartRequest {
+                let request = StartRequest {
                     task,
                     run,
                     payload,
@@ -92,7 +92,7 @@
                     lease_until_ms,
                     ticket,
                 };
-                self.start(worker, &address, order).await
+                self.start(worker, &address, request).await
             }
             Action::Stop {
                 worker,
@@ -107,12 +107,12 @@
                 acked_end,
                 wait_ms,
             } => {
-                let order = PollRequest {
+                let request = PollRequest {
                     lease_until_ms,
                     acked_end,
                     wait_ms,
                 };
-                self.look(worker, &address, &order).await
+                self.poll(worker, &address, &request).await
             }
             Action::SetPace {
                 worker,
@@ -121,21 +121,21 @@
                 run,
                 percent,
             } => {
-                let order = PaceRequest { task, run, percent };
-                if self.pace(&worker, &address, &order).await {
+                let request = PaceRequest { task, run, percent };
+                if self.set_pace(&worker, &address, &request).await {
                     return;
                 }
                 Event::PaceFailed {
                     worker,
-                    task: order.task,
-                    run: order.run,
+                    task: request.task,
+                    run: request.run,
                 }
             }
             Action::RequestAdvice {
                 step,
                 workers,
                 answer_ms,
-            } => self.ask(step, workers, answer_ms).await,
+            } => self.request_advice(step, workers, answer_ms).await,
             Action::Store { .. }
             | Action::Resign
             | Action::DeleteJob(_)
@@ -145,36 +145,40 @@
         self.events.send(event).await;
     }
 
-    /// Waits for the orders to the worker before this one, and makes the call; none if it waited in
-    /// vain and nothing was sent.
-    async fn in_turn<R>(&self, worker: &WorkerName, call: impl Future<Output = R>) -> Option<R> {
-        let lane = self.order_locks.lock_of(worker);
-        let _turn = timeout(LANE_WAIT_MS.into(), lane.lock()).await.ok()?;
+    /// Makes a call after the earlier orders to the worker; returns `None`, with nothing sent, if the wait
+    /// for them times out.
+    async fn call_in_order<R>(
+        &self,
+        worker: &WorkerName,
+        call: impl Future<Output = R>,
+    ) -> Option<R> {
+        let lock = self.order_locks.lock_of(worker);
+        let _guard = timeout(MAX_ORDER_WAIT_MS.into(), lock.lock()).await.ok()?;
         Some(call.await)
     }
 
-    async fn start(&self, worker: WorkerName, address: &str, order: StartRequest) -> Event {
-        let call = self.workers.start(&worker, address, self.term, &order);
-        let reply = self.in_turn(&worker, call).await;
+    async fn start(&self, worker: WorkerName, address: &str, request: StartRequest) -> Event {
+        let call = self.workers.start(&worker, address, self.term, &request);
+        let reply = self.call_in_order(&worker, call).await;
         let reply = reply.unwrap_or(OrderReply::Unknown);
         if matches!(reply, OrderReply::Accepted { .. }) {
             if self.start_log_limiter.admit(self.clock.now()) {
                 log_event!(
                     Info,
                     "run_started",
-                    task = order.task,
-                    run = order.run,
+                    task = request.task,
+                    run = request.run,
                     worker = worker,
                     term = self.term,
-                    has_checkpoint = !order.checkpoint.is_empty()
+                    has_checkpoint = !request.checkpoint.is_empty()
                 );
             }
         } else {
             log_event!(
                 Info,
                 "start_not_accepted",
-                task = order.task,
-                run = order.run,
+                task = request.task,
+                run = request.run,
                 worker = worker,
                 term = self.term,
                 reply = format!("{reply:?}")
@@ -182,33 +186,38 @@
         }
         Event::StartReplied {
             worker,
-            task: order.task,
-            run: order.run,
+            task: request.task,
+            run: request.run,
             reply,
         }
     }
 
-    /// Tells whether the worker confirmed the pace. Orders of a worker go one after the other, so that
-    /// an earlier pace does not arrive after a later one.
-    async fn pace(&self, worker: &WorkerName, address: &str, order: &PaceRequest) -> bool {
-        let call = self.workers.set_pace(worker, address, self.term, order);
-        let is_told = self.in_turn(worker, call).await.unwrap_or(false);
+    /// Sets a run's pace and returns whether the worker confirmed it. Orders to a worker are sent one at a
+    /// time, so an earlier pace can't arrive after a later one.
+    async fn set_pace(&self, worker: &WorkerName, address: &str, request: &PaceRequest) -> bool {
+        let call = self.workers.set_pace(worker, address, self.term, request);
+        let is_confirmed = self.call_in_order(worker, call).await.unwrap_or(false);
         if self.pace_log_limiter.admit(self.clock.now()) {
             log_event!(
                 Info,
                 "run_paced",
-                task = order.task,
-                run = order.run,
+                task = request.task,
+                run = request.run,
                 worker = worker,
                 term = self.term,
-                percent = order.percent,
-                is_told = is_told
+                percent = request.percent,
+                is_told = is_confirmed
             );
         }
-        is_told
+        is_confirmed
     }
 
-    async fn ask(&self, step: StepId, workers: Vec<WorkerName>, answer_ms: DurationMs) -> Event {
+    async fn request_advice(
+        &self,
+        step: StepId,
+        workers: Vec<WorkerName>,
+        answer_ms: DurationMs,
+    ) -> Event {
         let asked_at = self.clock.now();
         let reply = self
             .advisor
@@ -252,7 +261,7 @@
 
     async fn stop(&self, worker: WorkerName, address: &str, task: TaskId, run: u32) -> Event {
         let call = self.workers.stop(&worker, address, self.term, &task, run);
-        let reply = self.in_turn(&worker, call).await;
+        let reply = self.call_in_order(&worker, call).await;
         let reply = reply.unwrap_or(OrderReply::Unknown);
         if self.stop_log_limiter.admit(self.clock.now()) {
             log_event!(
@@ -273,9 +282,12 @@
         }
     }
 
-    async fn look(&self, worker: WorkerName, address: &str, order: &PollRequest) -> Event {
+    async fn poll(&self, worker: WorkerName, address: &str, request: &PollRequest) -> Event {
         let sent_at = self.clock.now();
-        let reply = self.workers.poll(&worker, address, self.term, order).await;
+        let reply = self
+            .workers
+            .poll(&worker, address, self.term, request)
+            .await;
         let failure = match reply {
             PollReply::Report(report) => {
                 return Event::PollReplied {
--- a/ragwortwick-daemon/src/area/progress_store.rs
+++ b/ragwortwick-daemon/src/area/progress_store.rs
@@ -1,4 +1,5 @@
-//! The coordinator's writes: fenced by its own key, repeated until their outcome is certain.
+//! The coordinator's writes of job progress: fenced by the coordinator key and retried until their
+//! outcome is certain.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -13,26 +14,26 @@
 use super::keys::{COORDINATOR_KEY, JobKeyKind, progress_key};
 use super::store_health::StoreHealth;
 
-/// Pause before a write without a certain outcome is sent again.
-const RETRY_MS: DurationMs = DurationMs(100);
+/// Delay before a write with an unknown outcome is sent again.
+const RETRY_DELAY_MS: DurationMs = DurationMs(100);
 
-/// `TermLost` says that another coordinator holds the key.
+/// `TermLost` says that this term no longer holds the coordinator key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct TermLost;
 
-/// `ProgressStore` writes the progress of jobs in one term; clones share the revisions.
+/// `ProgressStore` writes job progress during one term; clones share the revisions.
 #[derive(Clone, Debug)]
 pub(super) struct ProgressStore {
     store: StoreClient,
     health: StoreHealth,
-    /// Revision of the coordinator's key: it changes as soon as anybody else holds it.
+    /// Revision of the coordinator key, the fencing token: it changes when another host takes the key.
     term_revision: Revision,
     /// Revision of each job's progress.
     revisions: Arc<Mutex<HashMap<JobId, Revision>>>,
 }
 
 impl ProgressStore {
-    /// `open` writes in the term that the key's revision begins, from the given revisions on.
+    /// `open` creates the store of the term whose key has this revision, with the last revisions of progress.
     pub(super) fn open(
         store: StoreClient,
         health: StoreHealth,
@@ -53,14 +54,14 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Stores a batch; returns only once it is certain that it is stored.
+    /// Stores a batch of records; returns once it is certain that they are stored.
     ///
-    /// The same transaction is sent again after an unknown outcome. If the first one took effect, its
-    /// conditions no longer hold, and the store shows our own values.
+    /// The same transaction is sent again after an unknown outcome. If the first one took effect, the
+    /// second one conflicts, and the conflicting values are those of this batch.
     ///
     /// # Errors
     ///
-    /// Fails if the term is over.
+    /// Fails if the term has ended.
     pub(super) async fn store(&self, records: &[ProgressRecord]) -> Result<(), TermLost> {
         let txn = self.txn(records);
         loop {
@@ -74,7 +75,9 @@
                     }
                     return Ok(());
                 }
-                Ok(TxnReply::Conflict(items)) => return self.compare(&txn, &items, records),
+                Ok(TxnReply::Conflict(items)) => {
+                    return self.resolve_conflict(&txn, &items, records);
+                }
                 Err(StoreError::LeaseNotFound) => return Err(TermLost),
                 Err(error) => {
                     log_event!(
@@ -83,7 +86,7 @@
                         records = records.len(),
                         cause = error
                     );
-                    tokio::time::sleep(RETRY_MS.into()).await;
+                    tokio::time::sleep(RETRY_DELAY_MS.into()).await;
                 }
             }
         }
@@ -105,16 +108,16 @@
                 key: key.clone(),
                 revision: revision.unwrap_or_default(),
             });
-            txn.writes.push(write(key, &record.progress));
+            txn.writes.push(write_item(key, &record.progress));
             if record.has_new_phase {
                 let key = JobKeyKind::Phase.key_of(&record.job_id);
-                txn.writes.push(write(key, &record.progress.phase));
+                txn.writes.push(write_item(key, &record.progress.phase));
             }
         }
         txn
     }
 
-    fn compare(
+    fn resolve_conflict(
         &self,
         txn: &Txn,
         items: &[KeyValue],
@@ -131,7 +134,7 @@
             let is_written =
                 |item: &&KeyValue| written.is_some_and(|write| item.value == write.value);
             let Some(item) = find(&key).filter(is_written) else {
-                // Only this term writes these keys, so a third value means that the term is lost.
+                // Only the current term writes these keys, so any other value means that this term is lost.
                 log_event!(Error, "progress_conflict", key = key);
                 return Err(TermLost);
             };
@@ -141,11 +144,11 @@
         Ok(())
     }
 
-    /// Removes all keys of a job that ended long ago; a failure is tried again by a later term.
+    /// Deletes all keys of a job whose retention has ended; a later term retries a failed deletion.
     pub(super) async fn delete_job(&self, job_id: &JobId) {
         let mut removes: Vec<String> = JobKeyKind::ALL
             .iter()
-            .map(|part| part.key_of(job_id))
+            .map(|kind| kind.key_of(job_id))
             .collect();
         removes.push(progress_key(job_id));
         let txn = Txn {
@@ -165,10 +168,10 @@
     }
 }
 
-fn write(key: String, value: &impl Serialize) -> WriteItem {
+fn write_item(key: String, value: &impl Serialize) -> WriteItem {
     let value = match serde_json::to_vec(value) {
         Ok(value) => value,
-        Err(error) => unreachable!("records have only plain fields: {error}"),
+        Err(error) => unreachable!("records have only plain fields, which serialize: {error}"),
     };
     WriteItem {
         key,
--- a/ragwortwick-daemon/src/area/term.rs
+++ b/ragwortwick-daemon/src/area/term.rs
@@ -1,4 +1,4 @@
-//! One term of coordination: from winning the key to losing or giving it up.
+//! One term of the coordinator: from the acquisition of the coordinator key to its loss or release.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -22,19 +22,19 @@
 use super::worker_feed::{WorkerFeed, read_workers};
 use crate::{Clock, EventLoop, unix_now};
 
-/// Events that may wait for the coordinator: several passes' worth at the planned size.
+/// Length of the coordinator's event ring: the events of several placement passes at the planned size.
 const RING_LENGTH: usize = 16_384;
 
-/// Pause between two renewals; several must fail in a row before the lease runs out.
-const RENEW_MS: DurationMs = DurationMs(400);
+/// Interval between lease renewals; the lease expires only after several of them fail in a row.
+const RENEWAL_INTERVAL_MS: DurationMs = DurationMs(400);
 
-/// Longest wait for one renewal.
-const RENEW_TIMEOUT_MS: DurationMs = DurationMs(600);
+/// Timeout of one renewal.
+const RENEWAL_TIMEOUT_MS: DurationMs = DurationMs(600);
 
-/// How much earlier than the store the holder counts its lease as over.
-const TENURE_MARGIN_MS: DurationMs = DurationMs(200);
+/// How much earlier than in the store a lease expires for its holder.
+const EXPIRY_MARGIN_MS: DurationMs = DurationMs(200);
 
-/// `TermContext` is what a term works with.
+/// `TermContext` holds the clients, channels and settings that a term uses.
 #[derive(Clone, Debug)]
 pub(super) struct TermContext {
     pub(super) store: StoreClient,
@@ -51,65 +51,65 @@
     pub(super) metrics: AreaMetrics,
 }
 
-/// `CoordinatorLease` is the key that a term holds.
+/// `CoordinatorLease` is the lease of a term, with the coordinator key bound to it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CoordinatorLease {
-    pub(super) lease: u64,
+    pub(super) lease_id: u64,
     pub(super) ttl_ms: DurationMs,
     pub(super) revision: Revision,
-    /// When the lease was last known to be granted or renewed.
+    /// When the request that granted the lease was sent.
     pub(super) granted_at: TimeMs,
 }
 
 impl CoordinatorLease {
     fn valid_until(&self, renewed_at: TimeMs) -> TimeMs {
-        renewed_at + self.ttl_ms - TENURE_MARGIN_MS
+        renewed_at + self.ttl_ms - EXPIRY_MARGIN_MS
     }
 }
 
-/// Coordinates until the key is lost or the host stops.
-pub(super) async fn run_term(parts: &TermContext, won: CoordinatorLease) {
-    let term = Epoch(won.revision.0);
+/// Runs a term until the key is lost or the host stops.
+pub(super) async fn run_term(context: &TermContext, lease: CoordinatorLease) {
+    let term = Epoch(lease.revision.0);
     log_event!(Info, "term_begins", term = term);
-    parts.metrics.is_coordinator.set(1);
-    let result = run(parts, won, term).await;
-    parts.metrics.is_coordinator.set(0);
-    let why = match result {
-        Ok(why) => why.to_owned(),
+    context.metrics.is_coordinator.set(1);
+    let result = run(context, lease, term).await;
+    context.metrics.is_coordinator.set(0);
+    let reason = match result {
+        Ok(reason) => reason.to_owned(),
         Err(error) => error.to_string(),
     };
-    // Whoever is next need not wait for the lease to run out.
-    let ended = parts.store.revoke_lease(won.lease).await;
+    // The next coordinator need not wait until the lease expires.
+    let released = context.store.revoke_lease(lease.lease_id).await;
     log_event!(
         Info,
         "term_ends",
         term = term,
-        cause = why,
-        is_key_released = ended.is_ok()
+        cause = reason,
+        is_key_released = released.is_ok()
     );
 }
 
 async fn run(
-    parts: &TermContext,
-    won: CoordinatorLease,
+    context: &TermContext,
+    lease: CoordinatorLease,
     term: Epoch,
 ) -> Result<&'static str, StoreError> {
-    let Some(desired) = parts.desired.borrow().clone() else {
-        return Ok("no desired state yet");
+    let Some(desired) = context.desired.borrow().clone() else {
+        return Ok("no desired state has been read yet");
     };
-    let (entries, workers_as_of) = read_workers(&parts.store, &parts.health).await?;
+    let (entries, workers_as_of) = read_workers(&context.store, &context.health).await?;
     let known_workers = entries.iter().map(|entry| entry.name.clone()).collect();
-    let (start, started) = std::sync::mpsc::channel();
-    let machine = LateMachine {
-        start: started,
-        machine: None,
+    let (handler_sender, handler_receiver) = std::sync::mpsc::channel();
+    let deferred = DeferredHandler {
+        receiver: handler_receiver,
+        handler: None,
     };
-    let duty = EventLoop::spawn("coordinator", RING_LENGTH, parts.clock, machine)
+    let event_loop = EventLoop::spawn("coordinator", RING_LENGTH, context.clock, deferred)
         .map_err(|error| StoreError::Refused(error.to_string()))?;
-    let events = EventSender(duty.sender());
-    let Some(jobs) = subscribe(parts, &events).await else {
-        drop(start);
-        duty.close();
+    let events = EventSender(event_loop.sender());
+    let Some(jobs) = subscribe(context, &events).await else {
+        drop(handler_sender);
+        event_loop.close();
         return Ok("the jobs can't be read");
     };
     log_event!(
@@ -121,91 +121,96 @@
         desired_version = desired.version
     );
     let now = Now {
-        steady: parts.clock.now(),
+        steady: context.clock.now(),
         unix: unix_now(),
     };
     let revisions = jobs
         .iter()
         .map(|(job, revision)| (job.record.job_id.clone(), *revision))
         .collect();
-    let told = ended_before(&jobs);
+    let reported = ended_before(&jobs);
     let coordinator = Coordinator::take_over(
         now,
-        parts.limits.clone(),
+        context.limits.clone(),
         desired,
         jobs.into_iter().map(|(job, _)| job).collect(),
         entries,
     );
-    let (actions, action_feed) = mpsc::unbounded_channel();
-    // The duty's thread waits for this; it can only have gone if the process is ending.
-    let _ = start.send(CoordinatorHandler {
+    let (actions, action_receiver) = mpsc::unbounded_channel();
+    // The event loop's thread waits for the handler; it drops the receiver only if the process ends.
+    let _ = handler_sender.send(CoordinatorHandler {
         coordinator,
         actions,
-        clock: parts.clock,
+        clock: context.clock,
         last_call: now,
         load: LoadStats::default(),
     });
-    let until = won.valid_until(won.granted_at);
+    let until = lease.valid_until(lease.granted_at);
     events.send(Event::LeaseExtended { until }).await;
-    tell_left_ends(parts, &events).await;
+    send_handed_over_completions(context, &events).await;
 
     let feed = WorkerFeed {
-        store: parts.store.clone(),
-        health: parts.health.clone(),
+        store: context.store.clone(),
+        health: context.health.clone(),
         events: events.clone(),
         known: known_workers,
-        clock: parts.clock,
-        metrics: parts.metrics.clone(),
+        clock: context.clock,
+        metrics: context.metrics.clone(),
     };
     let progress_store = ProgressStore::open(
-        parts.store.clone(),
-        parts.health.clone(),
-        won.revision,
+        context.store.clone(),
+        context.health.clone(),
+        lease.revision,
         revisions,
     );
-    let (writes, write_feed) = mpsc::unbounded_channel();
+    let (writes, write_receiver) = mpsc::unbounded_channel();
     let (end, ended) = mpsc::channel(4);
     let mut tasks = JoinSet::new();
     tasks.spawn(feed.run(Some(workers_as_of)));
-    tasks.spawn(follow_desired(parts.desired.clone(), events.clone()));
+    tasks.spawn(forward_desired_state(
+        context.desired.clone(),
+        events.clone(),
+    ));
     let unstored = UnstoredCompletions::default();
     let batch_writer = BatchWriter {
         progress_store,
         events: events.clone(),
-        ends: JobEndReporter::open(parts.replica.clone(), parts.metrics.clone(), told),
+        job_ends: JobEndReporter::open(context.replica.clone(), context.metrics.clone(), reported),
         unstored: unstored.clone(),
     };
-    tasks.spawn(batch_writer.run(write_feed, end.clone()));
-    tasks.spawn(renew(parts.clone(), won, events.clone(), end));
-    let advice_address = parts.advice_address.as_deref();
-    let sender = OrderSender::open(parts.clock, advice_address, term, events);
-    let dispatcher = ActionDispatcher::open(writes, sender, parts.metrics.clone(), unstored);
-    let why = hand_out(parts, won, action_feed, &dispatcher, ended).await;
+    tasks.spawn(batch_writer.run(write_receiver, end.clone()));
+    tasks.spawn(renew(context.clone(), lease, events.clone(), end));
+    let advice_address = context.advice_address.as_deref();
+    let order_sender = OrderSender::open(context.clock, advice_address, term, events);
+    let dispatcher =
+        ActionDispatcher::open(writes, order_sender, context.metrics.clone(), unstored);
+    let reason = dispatch_actions(context, lease, action_receiver, &dispatcher, ended).await;
     tasks.shutdown().await;
-    duty.close();
-    leave_unstored(parts, &dispatcher.unstored);
-    Ok(why)
+    event_loop.close();
+    hand_over_unstored(context, &dispatcher.unstored);
+    Ok(reason)
 }
 
-/// Tells of ends that earlier coordinators left.
-async fn tell_left_ends(parts: &TermContext, events: &EventSender) {
-    for (job_id, ends) in parts.replica.handed_over_completions() {
-        for event in completion_events(&job_id, &ends) {
+/// Sends the completions that earlier coordinators handed over.
+async fn send_handed_over_completions(context: &TermContext, events: &EventSender) {
+    for (job_id, completions) in context.replica.handed_over_completions() {
+        for event in completion_events(&job_id, &completions) {
             events.send(event).await;
         }
     }
 }
 
-/// Leaves what this term heard and could not store to the next one, which must not wait for it.
-fn leave_unstored(parts: &TermContext, unstored: &UnstoredCompletions) {
-    let left = unstored.take();
-    if !left.is_empty() {
-        let (store, health) = (parts.store.clone(), parts.health.clone());
-        tokio::spawn(unstored_completions::hand_over(store, health, left));
+/// Hands the unstored completions of this term over to the next one, in a task of its own: the term's end
+/// must not wait for it.
+fn hand_over_unstored(context: &TermContext, unstored: &UnstoredCompletions) {
+    let completions = unstored.take();
+    if !completions.is_empty() {
+        let (store, health) = (context.store.clone(), context.health.clone());
+        tokio::spawn(unstored_completions::hand_over(store, health, completions));
     }
 }
 
-/// Jobs that had come to their end before this term.
+/// Jobs that ended before this term.
 fn ended_before(jobs: &[(RecoveredJob, Revision)]) -> HashSet<JobId> {
     jobs.iter()
         .filter(|(job, _)| {
@@ -216,9 +221,9 @@
         .collect()
 }
 
-/// Reads all jobs as they are now, and has every change from then on sent to the coordinator.
+/// Reads all jobs in their current state, and subscribes the coordinator to every change from then on.
 async fn subscribe(
-    parts: &TermContext,
+    context: &TermContext,
     events: &EventSender,
 ) -> Option<Vec<(RecoveredJob, Revision)>> {
     let (reply, jobs) = oneshot::channel();
@@ -226,85 +231,85 @@
         events: events.clone(),
         reply,
     };
-    parts.subscriptions.send(request).await.ok()?;
+    context.subscriptions.send(request).await.ok()?;
     jobs.await.ok()
 }
 
-/// Carries out the coordinator's actions until the term ends; tells why it did.
-async fn hand_out(
-    parts: &TermContext,
-    won: CoordinatorLease,
+/// Dispatches the coordinator's actions until the term ends; returns the reason for its end.
+async fn dispatch_actions(
+    context: &TermContext,
+    lease: CoordinatorLease,
     mut actions: mpsc::UnboundedReceiver<Vec<Action>>,
     dispatcher: &ActionDispatcher,
     mut ended: mpsc::Receiver<&'static str>,
 ) -> &'static str {
     let mut orders = JoinSet::new();
-    let mut key = parts.coordinator_key.clone();
-    let mut stopping = parts.stopping.clone();
+    let mut key = context.coordinator_key.clone();
+    let mut stopping = context.stopping.clone();
     if *stopping.borrow_and_update() {
-        return "the host stops";
+        return "the host is stopping";
     }
-    let why = loop {
+    let reason = loop {
         tokio::select! {
             batch = actions.recv() => {
-                let Some(batch) = batch else { break "the coordinator has ended" };
+                let Some(batch) = batch else { break "the coordinator's event loop has ended" };
                 if !dispatcher.dispatch(batch, &mut orders) {
-                    break "a worker knows a later term";
+                    break "a worker has seen a later term";
                 }
             }
             _ = orders.join_next(), if !orders.is_empty() => {}
-            why = ended.recv() => break why.unwrap_or("its tasks have ended"),
+            reason = ended.recv() => break reason.unwrap_or("the term's tasks have ended"),
             _ = key.changed() => {
-                let seen = *key.borrow_and_update();
-                if let CoordinatorKeyState::Held(revision) = seen && revision > won.revision {
+                let state = *key.borrow_and_update();
+                if let CoordinatorKeyState::Held(revision) = state && revision > lease.revision {
                     break "another host holds the key";
                 }
             }
-            _ = stopping.changed() => break "the host stops",
+            _ = stopping.changed() => break "the host is stopping",
         }
     };
     orders.shutdown().await;
-    why
+    reason
 }
 
-/// `LateMachine` waits for its coordinator, so that events that come early are kept in the ring.
-struct LateMachine {
-    start: std::sync::mpsc::Receiver<CoordinatorHandler>,
-    machine: Option<CoordinatorHandler>,
+/// `DeferredHandler` waits for its coordinator; events that arrive before it stay in the ring.
+struct DeferredHandler {
+    receiver: std::sync::mpsc::Receiver<CoordinatorHandler>,
+    handler: Option<CoordinatorHandler>,
 }
 
-impl LateMachine {
-    fn machine(&mut self) -> Option<&mut CoordinatorHandler> {
-        if self.machine.is_none() {
-            self.machine = self.start.recv().ok();
+impl DeferredHandler {
+    fn handler(&mut self) -> Option<&mut CoordinatorHandler> {
+        if self.handler.is_none() {
+            self.handler = self.receiver.recv().ok();
         }
-        self.machine.as_mut()
+        self.handler.as_mut()
     }
 }
 
-impl crate::EventHandler for LateMachine {
+impl crate::EventHandler for DeferredHandler {
     type Event = Event;
 
     fn on_event(&mut self, now: TimeMs, event: Event) {
-        if let Some(machine) = self.machine() {
-            machine.on_event(now, event);
+        if let Some(handler) = self.handler() {
+            handler.on_event(now, event);
         }
     }
 
     fn on_wakeup(&mut self, now: TimeMs) {
-        if let Some(machine) = self.machine() {
-            machine.on_wakeup(now);
+        if let Some(handler) = self.handler() {
+            handler.on_wakeup(now);
         }
     }
 
     fn next_wakeup(&self) -> Option<TimeMs> {
-        self.machine
+        self.handler
             .as_ref()
             .and_then(crate::EventHandler::next_wakeup)
     }
 }
 
-async fn follow_desired(
+async fn forward_desired_state(
     mut desired: watch::Receiver<Option<Arc<DesiredState>>>,
     events: EventSender,
 ) {
@@ -321,28 +326,31 @@
     }
 }
 
-/// Renews the lease. While the store is away the term goes on without orders; the lease may have
-/// been paused, and is then simply renewed.
+/// Renews the lease. While the store is unavailable, the term continues but sends no orders. The store may
+/// have paused the lease meanwhile, and then renews it as usual.
 async fn renew(
-    parts: TermContext,
-    won: CoordinatorLease,
+    context: TermContext,
+    lease: CoordinatorLease,
     events: EventSender,
     end: mpsc::Sender<&'static str>,
 ) {
     loop {
-        tokio::time::sleep(RENEW_MS.into()).await;
-        let sent_at = parts.clock.now();
-        let result = parts.store.renew_lease(won.lease, RENEW_TIMEOUT_MS).await;
-        parts.health.record(&result);
+        tokio::time::sleep(RENEWAL_INTERVAL_MS.into()).await;
+        let sent_at = context.clock.now();
+        let result = context
+            .store
+            .renew_lease(lease.lease_id, RENEWAL_TIMEOUT_MS)
+            .await;
+        context.health.record(&result);
         match result {
             Ok(()) => {
-                let until = won.valid_until(sent_at);
+                let until = lease.valid_until(sent_at);
                 if !events.send(Event::LeaseExtended { until }).await {
                     return;
                 }
             }
             Err(StoreError::LeaseNotFound) => {
-                let _ = end.send("the lease has run out").await;
+                let _ = end.send("the lease has expired").await;
                 return;
             }
             Err(error) => log_event!(Info, "renewal_failed", cause = error),
--- a/ragwortwick-daemon/src/area/unstored_completions.rs
+++ b/ragwortwick-daemon/src/area/unstored_completions.rs
@@ -1,8 +1,8 @@
-//! Ends of tasks that a coordinator heard and could not store, left for its successor.
+//! Completions that a coordinator received but could not store, handed over to the next coordinator.
 //!
-//! A coordinator that loses the store goes on hearing workers for seconds. An end that it hears then
-//! is in no record, and if its worker leaves, nobody else ever hears it: the task would be done a
-//! second time, after every lease there has run out.
+//! A coordinator that loses the store receives replies from workers for some more seconds. A completion
+//! received in that time is in no record. If its worker then leaves, no other host learns of it, and the
+//! task would run a second time once all leases on that worker have expired.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -15,16 +15,16 @@
 use super::keys::JobKeyKind;
 use super::store_health::StoreHealth;
 
-/// Pause before ends that could not be left are tried again.
-const RETRY_MS: DurationMs = DurationMs(200);
+/// Delay before a failed handover is retried.
+const RETRY_DELAY_MS: DurationMs = DurationMs(200);
 
-/// Tries to leave them, over half a minute at least: any lease has run out by then.
-const TRIES: u32 = 150;
+/// Tries of a handover, over half a minute at least: all leases have expired by then.
+const MAX_TRIES: u32 = 150;
 
-/// Jobs whose ends are left in one transaction.
-const JOBS_AT_ONCE: usize = 32;
+/// Jobs whose completions are handed over in one transaction.
+const JOBS_PER_TXN: usize = 32;
 
-/// `HandedOverCompletion` is a task of one job that came to its end, and the run that did.
+/// `HandedOverCompletion` is a completed task of one job, and the run that completed it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct HandedOverCompletion {
     occurrence: u32,
@@ -34,7 +34,7 @@
 }
 
 impl HandedOverCompletion {
-    /// The task, of the job that the end was left for, and the run.
+    /// The task, given the job that it belongs to, and its run.
     pub(super) fn task_and_run(&self, job_id: &JobId) -> (TaskId, u32) {
         let task = TaskId {
             job_id: job_id.clone(),
@@ -46,15 +46,15 @@
     }
 }
 
-/// `UnstoredCompletions` are the ends of a term that no stored record has yet; clones share them.
+/// `UnstoredCompletions` holds a term's completions that no stored record contains yet; clones share them.
 #[derive(Clone, Debug, Default)]
 pub(super) struct UnstoredCompletions(Arc<Mutex<Vec<UnstoredCompletion>>>);
 
 #[derive(Debug)]
 struct UnstoredCompletion {
     job_id: JobId,
-    end: HandedOverCompletion,
-    /// The batch that stores it, once there is one.
+    completion: HandedOverCompletion,
+    /// The batch that contains it, once there is one.
     batch: Option<u64>,
 }
 
@@ -63,11 +63,11 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes that a run has done its work.
+    /// Records that a run has completed its task.
     pub(super) fn add(&self, task: &TaskId, run: u32) {
         self.lock().push(UnstoredCompletion {
             job_id: task.job_id.clone(),
-            end: HandedOverCompletion {
+            completion: HandedOverCompletion {
                 occurrence: task.occurrence,
                 step: task.step,
                 index: task.index,
@@ -77,41 +77,46 @@
         });
     }
 
-    /// Notes that a batch holds the records of these jobs as they are now.
+    /// Records that a batch contains the current records of these jobs.
     pub(super) fn assign_batch(&self, batch: u64, records: &[ProgressRecord]) {
-        for end in self.lock().iter_mut() {
-            let is_held = records.iter().any(|record| record.job_id == end.job_id);
-            if is_held && end.batch.is_none() {
-                end.batch = Some(batch);
+        for unstored in self.lock().iter_mut() {
+            let is_contained = records
+                .iter()
+                .any(|record| record.job_id == unstored.job_id);
+            if is_contained && unstored.batch.is_none() {
+                unstored.batch = Some(batch);
             }
         }
     }
 
-    /// Notes that a batch is stored.
+    /// Removes the completions of a stored batch.
     pub(super) fn remove_batch(&self, batch: u64) {
-        self.lock().retain(|end| end.batch != Some(batch));
+        self.lock().retain(|unstored| unstored.batch != Some(batch));
     }
 
-    /// Takes all that is left, by job.
+    /// Takes all unstored completions, by job.
     pub(super) fn take(&self) -> BTreeMap<JobId, Vec<HandedOverCompletion>> {
         let mut by_job: BTreeMap<JobId, Vec<HandedOverCompletion>> = BTreeMap::new();
-        for left in self.lock().drain(..) {
-            by_job.entry(left.job_id).or_default().push(left.end);
+        for unstored in self.lock().drain(..) {
+            by_job
+                .entry(unstored.job_id)
+                .or_default()
+                .push(unstored.completion);
         }
         by_job
     }
 }
 
-/// Leaves ends in the store, where the next coordinator finds them; gives up after a while.
+/// Writes completions to the store, where the next coordinator reads them; gives up after `MAX_TRIES`.
 pub(super) async fn hand_over(
     store: StoreClient,
     health: StoreHealth,
-    ends: BTreeMap<JobId, Vec<HandedOverCompletion>>,
+    completions: BTreeMap<JobId, Vec<HandedOverCompletion>>,
 ) {
-    let ends: Vec<(JobId, Vec<HandedOverCompletion>)> = ends.into_iter().collect();
-    for jobs in ends.chunks(JOBS_AT_ONCE) {
-        let writes = jobs.iter().filter_map(|(job_id, ends)| {
-            let value = serde_json::to_vec(ends).ok()?;
+    let completions: Vec<(JobId, Vec<HandedOverCompletion>)> = completions.into_iter().collect();
+    for jobs in completions.chunks(JOBS_PER_TXN) {
+        let writes = jobs.iter().filter_map(|(job_id, completions)| {
+            let value = serde_json::to_vec(completions).ok()?;
             Some(WriteItem {
                 key: JobKeyKind::HandedOverCompletions.key_of(job_id),
                 value,
@@ -122,19 +127,19 @@
             writes: writes.collect(),
             ..Txn::default()
         };
-        let is_left = write(&store, &health, &txn).await;
-        log_event!(Info, "ends_left", jobs = jobs.len(), is_left = is_left);
+        let is_stored = write(&store, &health, &txn).await;
+        log_event!(Info, "ends_left", jobs = jobs.len(), is_left = is_stored);
     }
 }
 
 async fn write(store: &StoreClient, health: &StoreHealth, txn: &Txn) -> bool {
-    for _ in 0..TRIES {
+    for _ in 0..MAX_TRIES {
         let reply = store.commit(txn).await;
         health.record(&reply);
         if reply.is_ok() {
             return true;
         }
-        tokio::time::sleep(RETRY_MS.into()).await;
+        tokio::time::sleep(RETRY_DELAY_MS.into()).await;
     }
     false
 }
