--- a/ragwortwick-daemon/src/area/readiness.rs
+++ b/ragwortwick-daemon/src/area/readiness.rs
@@ -37,13 +37,13 @@
         if *self.stopping.borrow() {
             Some("stopping")
         } else if self.desired.borrow().is_none() {
-            Some("desired state not read")
+            Some("no desired state")
         } else if !self.age.is_fresh(self.clock.now()) {
-            Some("desired state may be stale")
+            Some("desired state may be old")
         } else if !self.replica.is_loaded() {
             Some("jobs not read")
         } else if self.health.is_unavailable() || !self.health.has_replied_recently() {
-            Some("store unavailable")
+            Some("store out of reach")
         } else {
             None
         }
