--- a/ragwortwick-area/tests/rig/mod.rs
+++ b/ragwortwick-area/tests/rig/mod.rs
@@ -45,7 +45,7 @@
     }
 }
 
-pub fn terms(priority: u32) -> QueuePolicy {
+pub fn policy(priority: u32) -> QueuePolicy {
     QueuePolicy {
         pool: PoolName::new("booking"),
         priority,
@@ -61,7 +61,7 @@
         let queue = Queue {
             host: "jobs.example".into(),
             path_prefix: format!("/{name}/").into(),
-            policy: terms(priority),
+            policy: policy(priority),
             is_public: false,
         };
         (ClassName::new(name), queue)
@@ -111,7 +111,7 @@
     Arc::new(JobRecord {
         job_id: JobId::new(id),
         queue: ClassName::new(queue),
-        policy: terms(priority),
+        policy: policy(priority),
         customer: CustomerName::new("c"),
         payload: "payload".into(),
         steps,
