--- a/ragwortwick-emulator/examples/emulate.rs
+++ b/ragwortwick-emulator/examples/emulate.rs
@@ -1,4 +1,4 @@
-//! Plays seeds of the emulator and prints what they show.
+//! Runs simulations for a range of seeds and prints violations and totals.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -8,21 +8,21 @@
 use ragwortwick_emulator::{Simulation, SimulationOptions, Workload, draw_faults};
 
 const HELP: &str = "\
-emulate: plays an area in virtual time
+emulate: simulates an area in virtual time
 
 usage: emulate [--seed N] [--seeds N] [--faults N] [--workers N] [--load PERCENT]
                [--lease-ms N] [--advised] [--load-file FILE]
 
   --seed N      first seed (1)
   --seeds N     how many seeds (100)
-  --faults N    troubles in each (3)
+  --faults N    faults drawn for each seed (3)
   --workers N   workers of eight accelerators (24)
-  --load N      per cent of the usual arrivals (100)
-  --lease-ms N  longest lease of what runs on a worker (10000)
+  --load N      arrival rates in per cent of the workload's (100)
+  --lease-ms N  longest lease of runs on a worker (10000)
   --advised     the middle queue's jobs run only where an advisor allows them
-  --load-file F what comes in, in place of the load that is built in
+  --load-file F workload file to use in place of the built-in workload
 
-exit codes: 0 every promise held, 1 one was broken, 2 wrong arguments
+exit codes: 0 no invariant violated, 1 one was violated, 2 invalid arguments
 ";
 
 fn main() -> ExitCode {
@@ -32,7 +32,7 @@
         return ExitCode::SUCCESS;
     }
     let is_advised = arguments.contains("--advised");
-    let base = match read_load(&mut arguments) {
+    let base = match read_workload(&mut arguments) {
         Ok(load) => load,
         Err(error) => {
             eprintln!("{error}\n{HELP}");
@@ -59,16 +59,16 @@
             return ExitCode::from(2);
         }
     };
-    let mut broken = 0;
-    let (mut starts, mut stopped, mut jobs, mut without_ticket) = (0, 0, 0, 0);
+    let mut violated = 0;
+    let (mut starts, mut stopped, mut jobs, mut ticket_refusals) = (0, 0, 0, 0);
     for seed in first..first + seeds {
-        let share = f64::from(u32::try_from(percent).unwrap_or(100)) / 100.0;
+        let rate_factor = f64::from(u32::try_from(percent).unwrap_or(100)) / 100.0;
         let options = SimulationOptions {
             seed,
             workload: if is_advised {
-                base.clone().scaled(share).with_advisor()
+                base.clone().scaled(rate_factor).with_advisor()
             } else {
-                base.clone().scaled(share)
+                base.clone().scaled(rate_factor)
             },
             workers: u32::try_from(workers).unwrap_or(24),
             limits: Limits {
@@ -82,36 +82,36 @@
         let report = Simulation::new(options, faults.clone()).run();
         starts += report.starts;
         stopped += report.stopped;
-        without_ticket += report.ticket_refusals;
+        ticket_refusals += report.ticket_refusals;
         jobs += report.jobs;
         if !report.violations.is_empty() {
-            broken += 1;
+            violated += 1;
             println!("seed={seed} faults={faults:?}");
-            for finding in report.violations.iter().take(5) {
-                println!("  {finding}");
+            for violation in report.violations.iter().take(5) {
+                println!("  {violation}");
             }
         }
     }
     println!(
-        "seeds={seeds} broken={broken} jobs={jobs} starts={starts} stopped={stopped} \
-         without_ticket={without_ticket}"
+        "seeds={seeds} broken={violated} jobs={jobs} starts={starts} stopped={stopped} \
+         without_ticket={ticket_refusals}"
     );
-    if broken == 0 {
+    if violated == 0 {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
     }
 }
 
-/// The load of the named file, or the one that is built in.
-fn read_load(arguments: &mut pico_args::Arguments) -> Result<Workload, String> {
+/// Reads the workload from the named file, or returns the built-in one.
+fn read_workload(arguments: &mut pico_args::Arguments) -> Result<Workload, String> {
     let path: Option<PathBuf> = arguments
         .opt_value_from_str("--load-file")
         .map_err(|error| error.to_string())?;
     let Some(path) = path else {
         return Ok(Workload::default());
     };
-    let at = |error: String| format!("{}: {error}", path.display());
-    let text = std::fs::read_to_string(&path).map_err(|error| at(error.to_string()))?;
-    serde_json::from_str(&text).map_err(|error| at(error.to_string()))
+    let with_path = |error: String| format!("{}: {error}", path.display());
+    let text = std::fs::read_to_string(&path).map_err(|error| with_path(error.to_string()))?;
+    serde_json::from_str(&text).map_err(|error| with_path(error.to_string()))
 }
--- a/ragwortwick-emulator/examples/experiment.rs
+++ b/ragwortwick-emulator/examples/experiment.rs
@@ -1,7 +1,7 @@
-//! Plays a load on many seeds, and compares two such plays seed by seed.
+//! Simulates a workload on many seeds, and compares two such results seed by seed.
 //!
-//! A round of a change of policy: `play` before it, `play` after it, `compare`. The seeds being the
-//! same, the difference shows with far fewer of them than two means would.
+//! To evaluate a change of policy, run `play` before and after it, then `compare`. The comparison is paired
+//! by seed, so it needs far fewer seeds than a comparison of two means.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -17,19 +17,19 @@
 use serde::{Deserialize, Serialize};
 
 const HELP: &str = "\
-experiment: what callers get of what they are owed, under a load that a file describes
+experiment: value earned by the jobs of a workload file
 
 usage: experiment play LOAD.json [--seed N] [--seeds N] [--faults N] [--workers N] [--rack N]
                                  [--scale PERCENT] [--lease-ms N] [--checkpoint-ms N] [--jobs]
        experiment compare BEFORE AFTER
 
-  play      prints a JSON line a seed; with --jobs one for each job that lost worth instead
-  compare   reads two such outputs: mean of both, and mean difference with its standard error
+  play      prints a JSON line per seed, or with --jobs one per job that lost value
+  compare   reads two such outputs; prints both means, and the mean difference with its standard error
 
-exit codes: 0 all went well, 1 a promise was broken or an input is wrong
+exit codes: 0 success, 1 an invariant was violated or an input is invalid
 ";
 
-const WASTE_CAUSES: [LostWorkCause; 5] = [
+const LOST_WORK_CAUSES: [LostWorkCause; 5] = [
     LostWorkCause::Displaced,
     LostWorkCause::Cancelled,
     LostWorkCause::Failed,
@@ -37,7 +37,7 @@
     LostWorkCause::Lapsed,
 ];
 
-const LOSS_CAUSES: [ValueLossCause; 5] = [
+const VALUE_LOSS_CAUSES: [ValueLossCause; 5] = [
     ValueLossCause::Failed,
     ValueLossCause::Lapsed,
     ValueLossCause::Displaced,
@@ -45,7 +45,7 @@
     ValueLossCause::Slow,
 ];
 
-/// Figures of one seed, by name.
+/// Results of one seed, by name.
 #[derive(Serialize, Deserialize)]
 struct Line {
     seed: u64,
@@ -83,22 +83,23 @@
     let shows_jobs = arguments.contains("--jobs");
     let file: PathBuf = arguments.free_from_str()?;
     let text = std::fs::read_to_string(&file).with_context(|| file.display().to_string())?;
-    let load: Workload = serde_json::from_str(&text).with_context(|| file.display().to_string())?;
-    let load = load.scaled(f64::from(percent) / 100.0);
-    let mut is_broken = false;
+    let workload: Workload =
+        serde_json::from_str(&text).with_context(|| file.display().to_string())?;
+    let workload = workload.scaled(f64::from(percent) / 100.0);
+    let mut is_violated = false;
     for seed in first..first + seeds {
         let options = SimulationOptions {
             seed,
             workers,
             rack,
-            workload: load.clone(),
+            workload: workload.clone(),
             limits: limits.clone(),
         };
-        let until = TimeMs(load.for_ms.0);
+        let until = TimeMs(workload.for_ms.0);
         let report = Simulation::new(options, draw_faults(seed, faults, until)).run();
-        for finding in &report.violations {
-            eprintln!("seed={seed} {finding}");
-            is_broken = true;
+        for violation in &report.violations {
+            eprintln!("seed={seed} {violation}");
+            is_violated = true;
         }
         if shows_jobs {
             let outcomes = report.value.outcomes.iter();
@@ -113,7 +114,7 @@
         };
         println!("{}", serde_json::to_string(&line)?);
     }
-    Ok(if is_broken {
+    Ok(if is_violated {
         ExitCode::FAILURE
     } else {
         ExitCode::SUCCESS
@@ -126,31 +127,34 @@
 )]
 fn figures(report: &SimulationReport) -> BTreeMap<String, f64> {
     let mut figures = BTreeMap::new();
-    let mut tell = |name: &str, figure: f64| figures.insert(name.to_owned(), figure);
-    let shares = |accounts: &BTreeMap<String, ragwortwick_emulator::ValueAccount>| {
+    let mut insert = |name: &str, figure: f64| figures.insert(name.to_owned(), figure);
+    let lowest_share = |accounts: &BTreeMap<String, ragwortwick_emulator::ValueAccount>| {
         let shares = accounts
             .values()
             .map(ragwortwick_emulator::ValueAccount::share);
         shares.fold(1.0, f64::min)
     };
-    tell("share_earned", report.value.total.share());
-    tell("share_worst_queue", shares(&report.value.by_queue));
-    tell("share_worst_customer", shares(&report.value.by_customer));
+    insert("share_earned", report.value.total.share());
+    insert("share_worst_queue", lowest_share(&report.value.by_queue));
+    insert(
+        "share_worst_customer",
+        lowest_share(&report.value.by_customer),
+    );
     for (queue, account) in &report.value.by_queue {
-        tell(&format!("share_of_{queue}"), account.share());
+        insert(&format!("share_of_{queue}"), account.share());
     }
-    for cause in LOSS_CAUSES {
+    for cause in VALUE_LOSS_CAUSES {
         let lost = report.value.lost.get(&cause).copied().unwrap_or(0.0);
         let owed = report.value.total.owed.max(f64::MIN_POSITIVE);
-        tell(&format!("lost_{cause:?}").to_lowercase(), lost / owed);
+        insert(&format!("lost_{cause:?}").to_lowercase(), lost / owed);
     }
-    for cause in WASTE_CAUSES {
-        let wasted = report.lost_core_s.get(&cause).copied().unwrap_or(0);
+    for cause in LOST_WORK_CAUSES {
+        let lost_core_s = report.lost_core_s.get(&cause).copied().unwrap_or(0);
         let name = format!("wasted_core_s_{cause:?}").to_lowercase();
-        tell(&name, wasted as f64);
+        insert(&name, lost_core_s as f64);
     }
-    tell("starts", report.starts as f64);
-    tell("stopped", report.stopped as f64);
+    insert("starts", report.starts as f64);
+    insert("stopped", report.stopped as f64);
     figures
 }
 
--- a/ragwortwick-emulator/src/advisor.rs
+++ b/ragwortwick-emulator/src/advisor.rs
@@ -1,4 +1,4 @@
-//! The advisor of the middle queue: which workers may run a step, and the tickets for them.
+//! The simulated advisor of the middle queue: which workers may run a step, and their tickets.
 
 use std::collections::BTreeMap;
 
@@ -9,20 +9,20 @@
 use crate::arrivals::TICKET_MS;
 use crate::simulation::Simulation;
 
-/// Share of questions that get no answer.
-const UNANSWERED: f64 = 0.1;
+/// Share of advice requests that get no reply.
+const UNANSWERED_SHARE: f64 = 0.1;
 
-/// `Advisor` knows its tickets.
+/// `Advisor` keeps the tickets it has issued.
 #[derive(Debug, Default)]
 pub(crate) struct Advisor {
-    /// Tickets by life of a worker and step, and until when they hold.
+    /// Tickets and their expiry, by incarnation of a worker and step.
     tickets: BTreeMap<(WorkerName, StepId), (String, TimeMs)>,
-    /// Starts that were refused for want of a ticket.
+    /// Starts refused for lack of a valid ticket.
     pub(crate) refused: u64,
 }
 
 impl Simulation {
-    /// What the coordinator hears of a question once the answer has taken its time.
+    /// Returns the event that the coordinator receives once the response time has passed.
     pub(crate) fn request_advice(
         &mut self,
         step: StepId,
@@ -30,7 +30,7 @@
         answer_ms: DurationMs,
     ) -> Event {
         let until = self.now + answer_ms + TICKET_MS;
-        let is_unanswered = self.rng.random_bool(UNANSWERED);
+        let is_unanswered = self.rng.random_bool(UNANSWERED_SHARE);
         let mut allowed = Vec::new();
         for worker in asked.iter().filter(|worker| is_allowed(worker, &step)) {
             let ticket = format!("{worker}/{step}/{until}");
@@ -49,7 +49,7 @@
         Event::AdviceReplied { step, asked, reply }
     }
 
-    /// Whether a start carries the ticket that it needs, if it needs one.
+    /// Whether a start carries a valid ticket, or needs none.
     pub(crate) fn has_valid_ticket(
         &mut self,
         index: usize,
@@ -62,17 +62,17 @@
         }
         let key = (self.workers[index].name.clone(), task.step_id());
         let known = self.advisor.tickets.get(&key);
-        let holds =
+        let is_valid =
             known.is_some_and(|(text, until)| ticket == Some(text.as_str()) && self.now < *until);
-        self.advisor.refused += u64::from(!holds);
-        holds
+        self.advisor.refused += u64::from(!is_valid);
+        is_valid
     }
 }
 
-/// Four of five workers may run a step, others for each job; a new life of a worker changes nothing.
+/// Allows four of five workers, chosen by the job; the incarnation of a worker makes no difference.
 fn is_allowed(worker: &WorkerName, step: &StepId) -> bool {
     let machine = worker.as_str().split('-').next().unwrap_or_default();
     let number = machine.trim_start_matches('w').parse().unwrap_or(0);
-    let of_job: u32 = step.job_id.as_str().bytes().map(u32::from).sum();
-    !(of_job + number).is_multiple_of(5)
+    let job_hash: u32 = step.job_id.as_str().bytes().map(u32::from).sum();
+    !(job_hash + number).is_multiple_of(5)
 }
--- a/ragwortwick-emulator/src/arrivals.rs
+++ b/ragwortwick-emulator/src/arrivals.rs
@@ -1,4 +1,4 @@
-//! Jobs that callers hand in, drawn by seed in the shape of an installation's workload.
+//! Submitted jobs, drawn from a seed and a workload.
 
 use std::sync::Arc;
 
@@ -16,10 +16,10 @@
 /// Pool of all workers.
 pub(crate) const POOL: &str = "booking";
 
-/// How long the advisor's tickets hold.
+/// How long the advisor's tickets are valid.
 pub(crate) const TICKET_MS: DurationMs = DurationMs(3_000);
 
-/// `Arrival` is one job with what will become of it.
+/// `Arrival` is one submitted job with its predetermined behaviour.
 #[derive(Clone, Debug)]
 pub(crate) struct Arrival {
     pub(crate) at: TimeMs,
@@ -27,29 +27,29 @@
     pub(crate) cancel_at: Option<TimeMs>,
     /// True duration of a task at normal speed, by step.
     pub(crate) work_ms: Vec<DurationMs>,
-    /// Share of runs that fail.
+    /// Probability that a run fails.
     pub(crate) failure_probability: f64,
-    /// The task that crashes its workers, if one does.
+    /// Task that crashes its workers, if any.
     pub(crate) crashing_task: Option<CrashingTask>,
 }
 
 /// `CrashingTask` is a task that crashes each worker that starts it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CrashingTask {
-    /// Its number in the first step.
+    /// Its index in the first step.
     pub(crate) index: u32,
     /// Time from a start to the crash.
     pub(crate) after_ms: u64,
 }
 
-/// `Arrivals` is all that comes in, in order.
+/// `Arrivals` lists the submitted jobs in order of time.
 #[derive(Clone, Debug)]
 pub struct Arrivals {
     pub(crate) jobs: Vec<Arrival>,
 }
 
 impl Arrivals {
-    /// `draw` makes the jobs of one run.
+    /// `draw` draws the jobs of one simulation.
     #[must_use]
     pub fn draw(seed: u64, workload: &Workload, racks: u32) -> Self {
         let mut rng = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
@@ -58,7 +58,7 @@
             let mut at = 0.0;
             loop {
                 let gap: f64 = rng.random_range(0.0..2.0);
-                let per_s = queue.per_s * workload.factor_at(&queue.name, at);
+                let per_s = queue.per_s * workload.rate_factor_at(&queue.name, at);
                 at += gap * 1_000.0 / per_s.max(0.001);
                 if at >= as_float(workload.for_ms.0) {
                     break;
@@ -78,7 +78,7 @@
     }
 }
 
-/// Chooses the tasks that crash their workers, by numbers of their own: the jobs stay as they are.
+/// Draws the tasks that crash their workers, with a separate generator so that the jobs don't change.
 fn draw_crashing_tasks(seed: u64, share: f64, jobs: &mut [Arrival]) {
     let mut rng = Pcg64Mcg::new(u128::from(seed) << 16 | 0xc4);
     for job in jobs {
@@ -108,12 +108,12 @@
     let mut work_ms = Vec::new();
     for number in 0..step_count {
         let true_ms = queue.work_ms * rng.random_range(0.5..1.6);
-        let estimate_ms = true_ms * estimate_factor(rng, queue);
+        let estimate_ms = true_ms * draw_estimate_factor(rng, queue);
         work_ms.push(DurationMs(truncate(true_ms)));
         let accelerators = queue.accelerators[rng.random_range(0..queue.accelerators.len())];
-        let width = width(rng, queue);
+        let width = draw_width(rng, queue);
         let is_gang = rng.random_bool(queue.gang);
-        let label = rng.random_bool(queue.labelled);
+        let has_label = rng.random_bool(queue.labelled);
         steps.push(StepSpec {
             count: width,
             need: Resources {
@@ -127,7 +127,7 @@
             wants_same_rack: is_gang
                 && rng.random_bool(queue.same_rack)
                 && u64::from(width) * accelerators <= queue.most_in_rack,
-            required_label: label.then(|| "a".into()),
+            required_label: has_label.then(|| "a".into()),
             data_rack: (!is_gang && rng.random_bool(0.1)).then(|| {
                 format!("r{}", rng.random_range(0..racks.max(1)))
                     .as_str()
@@ -187,17 +187,17 @@
     }
 }
 
-/// The operators' desired state of every run.
+/// Returns the desired state of the installation.
 pub(crate) fn desired_state(workload: &Workload, accelerators: u64) -> DesiredState {
     let queues = workload.queues.iter().map(|queue| {
         let name = &queue.name;
-        let known = Queue {
+        let state = Queue {
             host: "jobs.example".into(),
             path_prefix: format!("/{name}/").into(),
             policy: queue_policy(queue),
             is_public: false,
         };
-        (ClassName::new(name), known)
+        (ClassName::new(name), state)
     });
     let shares = workload.guaranteed_shares.iter().enumerate();
     let customers = shares.map(|(number, share)| {
@@ -219,26 +219,26 @@
     CustomerName::new(format!("customer-{number}"))
 }
 
-/// By how much a customer's estimate differs from the true duration.
-fn estimate_factor(rng: &mut Pcg64Mcg, queue: &QueueWorkload) -> f64 {
+/// Draws the ratio of a customer's estimate to the true duration.
+fn draw_estimate_factor(rng: &mut Pcg64Mcg, queue: &QueueWorkload) -> f64 {
     if queue.estimate_sigma > 0.0 {
-        log_normal(rng, 0.0, queue.estimate_sigma)
+        draw_log_normal(rng, 0.0, queue.estimate_sigma)
     } else {
-        let [least, most] = queue.estimate_factors;
-        rng.random_range(least..most)
+        let [lowest, highest] = queue.estimate_factors;
+        rng.random_range(lowest..highest)
     }
 }
 
-fn log_normal(rng: &mut Pcg64Mcg, mu: f64, sigma: f64) -> f64 {
+fn draw_log_normal(rng: &mut Pcg64Mcg, mu: f64, sigma: f64) -> f64 {
     LogNormal::new(mu, sigma).map_or(1.0, |drawn| drawn.sample(rng))
 }
 
-/// Number of tasks of a step.
-fn width(rng: &mut Pcg64Mcg, queue: &QueueWorkload) -> u32 {
+/// Draws the number of tasks of a step.
+fn draw_width(rng: &mut Pcg64Mcg, queue: &QueueWorkload) -> u32 {
     let factor = if queue.width_sigma > 0.0 {
-        // The mean of the distribution is one.
+        // This mu makes the mean of the distribution one.
         let mu = -queue.width_sigma * queue.width_sigma / 2.0;
-        log_normal(rng, mu, queue.width_sigma)
+        draw_log_normal(rng, mu, queue.width_sigma)
     } else {
         rng.random_range(0.2..1.9)
     };
--- a/ragwortwick-emulator/src/coordination.rs
+++ b/ragwortwick-emulator/src/coordination.rs
@@ -1,4 +1,4 @@
-//! Coordinators in the world: what they hear, and what they ask of the store.
+//! Coordinators: the events that they receive, and the actions that they request.
 
 use ragwortwick_area::{Action, Event, JobPhase, JobProgress, ProgressRecord, TaskId};
 use ragwortwick_core::{DurationMs, JobId};
@@ -11,7 +11,7 @@
         if let Some(until) = self.hosts[host].frozen_until
             && self.now < until
         {
-            // What arrives at a frozen process is read when it wakes.
+            // Events that arrive at a frozen process are read when it resumes.
             self.schedule_at(until, SimEvent::DeliverEvent { host, term, event });
             return;
         }
@@ -88,9 +88,9 @@
             return;
         };
         let at = at.max(self.now + DurationMs(1));
-        let planned = self.hosts[host].wakeup_at;
-        // One planned wakeup is enough; others would multiply with every event.
-        if planned.is_none_or(|planned| at < planned || planned <= self.now) {
+        let scheduled = self.hosts[host].wakeup_at;
+        // Schedules one wakeup at a time; otherwise their number would grow with every event.
+        if scheduled.is_none_or(|scheduled| at < scheduled || scheduled <= self.now) {
             self.hosts[host].wakeup_at = Some(at);
             self.schedule_at(at, SimEvent::WakeCoordinator(host, term));
         }
@@ -103,11 +103,11 @@
         batch: u64,
         records: Vec<ProgressRecord>,
     ) {
-        let is_term = self.hosts[host]
+        let is_current_term = self.hosts[host]
             .term
             .as_ref()
             .is_some_and(|state| state.number == term);
-        if !is_term {
+        if !is_current_term {
             return;
         }
         if self.store.is_unavailable || !self.hosts[host].reaches_store() {
--- a/ragwortwick-emulator/src/fault_injection.rs
+++ b/ragwortwick-emulator/src/fault_injection.rs
@@ -1,4 +1,4 @@
-//! Troubles that begin and end.
+//! Injection of faults: the begin and the end of each.
 
 use ragwortwick_area::{PollFailure, Resources};
 
@@ -18,10 +18,10 @@
                 term.is_some_and(|term| Some(term.number) == holder)
             })
             .unwrap_or(0);
-        let third: Vec<usize> = (0..self.workers.len())
+        let every_third: Vec<usize> = (0..self.workers.len())
             .filter(|number| (number + index).is_multiple_of(3))
             .collect();
-        let few: Vec<usize> = (0..self.workers.len())
+        let every_eighth: Vec<usize> = (0..self.workers.len())
             .filter(|number| (number + index).is_multiple_of(8))
             .collect();
         match fault.kind {
@@ -38,7 +38,7 @@
                 self.hosts[leader].is_partitioned_from_store = true;
             }
             FaultKind::CoordinatorCutFromWorkers if is_on => {
-                let names = third.iter().map(|&at| self.workers[at].name.clone());
+                let names = every_third.iter().map(|&at| self.workers[at].name.clone());
                 self.hosts[leader].unreachable_workers = names.collect();
             }
             FaultKind::RepliesDropped if is_on => self.hosts[leader].loses_replies = true,
@@ -54,18 +54,18 @@
             FaultKind::CoordinatorKilled | FaultKind::CoordinatorFrozen => {}
             FaultKind::StoreUnavailable => self.store.is_unavailable = is_on,
             FaultKind::StoreRepliesLost => self.store.loses_replies = is_on,
-            FaultKind::WorkersCrash => self.set_power_loss(&few, is_on),
+            FaultKind::WorkersCrash => self.set_power_loss(&every_eighth, is_on),
             FaultKind::RackPowerLoss => {
                 let first = index * self.options.rack as usize % self.workers.len();
                 let rack = &self.workers[first].rack;
-                let of_rack = |at: &usize| self.workers[*at].rack == *rack;
-                let lost: Vec<usize> = (0..self.workers.len()).filter(of_rack).collect();
-                self.set_power_loss(&lost, is_on);
+                let is_in_rack = |at: &usize| self.workers[*at].rack == *rack;
+                let in_rack: Vec<usize> = (0..self.workers.len()).filter(is_in_rack).collect();
+                self.set_power_loss(&in_rack, is_on);
             }
-            FaultKind::CapacityShrinks => self.set_shrunk(&third, is_on),
+            FaultKind::CapacityShrinks => self.set_shrunk(&every_third, is_on),
             FaultKind::OrdersLate => self.is_delaying_orders = is_on,
             FaultKind::WorkersLeave => {
-                for at in few {
+                for at in every_eighth {
                     if is_on {
                         self.workers[at].draining_since = Some(self.now);
                         self.workers[at].leaves_at = Some(until);
@@ -80,20 +80,20 @@
                 }
             }
             FaultKind::WorkersSlow => {
-                for at in few {
+                for at in every_eighth {
                     self.workers[at].fault_slowdown = if is_on { 5 } else { 1 };
                 }
             }
-            FaultKind::WorkersHang => self.set_hung(&few, is_on),
+            FaultKind::WorkersHang => self.set_hung(&every_eighth, is_on),
             FaultKind::WorkersFailing => {
-                for at in few {
+                for at in every_eighth {
                     self.workers[at].is_failing = is_on;
                 }
             }
         }
     }
 
-    /// Takes the power of workers away, or gives it back.
+    /// Cuts or restores the power of workers.
     fn set_power_loss(&mut self, workers: &[usize], is_on: bool) {
         for &at in workers {
             if is_on {
@@ -105,20 +105,20 @@
         }
     }
 
-    /// Halves the capacity of workers, or makes it whole.
+    /// Halves or restores the capacity of workers.
     fn set_shrunk(&mut self, workers: &[usize], is_on: bool) {
-        let whole = self.options.workload.capacity;
+        let full = self.options.workload.capacity;
         for &at in workers {
-            self.workers[at].capacity = if is_on { halved(whole) } else { whole };
+            self.workers[at].capacity = if is_on { halved(full) } else { full };
             self.workers[at].shrunk_at = is_on.then_some(self.now);
         }
     }
 }
 
-fn halved(whole: Resources) -> Resources {
+fn halved(full: Resources) -> Resources {
     Resources {
-        cpu_millis: whole.cpu_millis / 2,
-        memory_mb: whole.memory_mb / 2,
-        accelerators: whole.accelerators / 2,
+        cpu_millis: full.cpu_millis / 2,
+        memory_mb: full.memory_mb / 2,
+        accelerators: full.accelerators / 2,
     }
 }
--- a/ragwortwick-emulator/src/faults.rs
+++ b/ragwortwick-emulator/src/faults.rs
@@ -1,52 +1,52 @@
-//! What goes wrong in a run, drawn by seed.
+//! Faults of a simulation, drawn from a seed.
 
 use ragwortwick_core::{DurationMs, TimeMs};
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
 
-/// `FaultKind` is one kind of trouble.
+/// `FaultKind` is one kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
     /// The coordinator's process is killed.
     CoordinatorKilled,
-    /// The coordinator stands still, and wakes believing that no time has passed.
+    /// The coordinator's process is paused, and resumes unaware that time has passed.
     CoordinatorFrozen,
-    /// The coordinator loses the store, but not the workers.
+    /// The coordinator can't reach the store, but still reaches the workers.
     CoordinatorCutFromStore,
-    /// The coordinator loses a third of the workers, both ways.
+    /// The coordinator and a third of the workers can't reach each other.
     CoordinatorCutFromWorkers,
-    /// Answers of workers don't come back to the coordinator.
+    /// Replies of workers to the coordinator are dropped.
     #[serde(rename = "answers_cut")]
     RepliesDropped,
-    /// The store is away, and its leases run out meanwhile.
+    /// The store is unavailable, and its leases expire meanwhile.
     #[serde(rename = "store_away")]
     StoreUnavailable,
-    /// Writes take effect, but every second answer is lost.
+    /// Writes take effect, but half of the replies are lost.
     #[serde(rename = "store_answers_lost")]
     StoreRepliesLost,
-    /// Some workers crash and come back with another name.
+    /// Some workers crash and restart as another incarnation.
     WorkersCrash,
-    /// A part of the orders gets no answer and is carried out seconds later.
+    /// Some orders time out and are carried out seconds later.
     OrdersLate,
-    /// Some workers announce that they leave, and leave.
+    /// Some workers drain, and then leave.
     WorkersLeave,
     /// Some workers become several times slower.
     WorkersSlow,
-    /// Some workers fail everything that they start.
+    /// Some workers fail every run that they start.
     WorkersFailing,
-    /// What runs on some workers stands still; loads name it, it is not drawn.
+    /// Runs on some workers are stalled; only set by workload files, not drawn.
     WorkersHang,
-    /// All workers of one rack are without power; loads name it, it is not drawn.
+    /// All workers of one rack lose power; only set by workload files, not drawn.
     #[serde(rename = "rack_out")]
     RackPowerLoss,
-    /// Some workers have half of their capacity; loads name it, it is not drawn.
+    /// Some workers have half of their capacity; only set by workload files, not drawn.
     CapacityShrinks,
 }
 
-/// The kinds that are drawn.
-const KINDS: [FaultKind; 12] = [
+/// Kinds of faults that are drawn.
+const DRAWN_KINDS: [FaultKind; 12] = [
     FaultKind::CoordinatorKilled,
     FaultKind::CoordinatorFrozen,
     FaultKind::CoordinatorCutFromStore,
@@ -61,7 +61,7 @@
     FaultKind::WorkersFailing,
 ];
 
-/// `Fault` is one trouble with its time.
+/// `Fault` is one fault with its time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
@@ -73,13 +73,13 @@
     pub for_ms: DurationMs,
 }
 
-/// `draw_faults` draws troubles that may overlap.
+/// `draw_faults` draws faults that may overlap.
 #[must_use]
 pub fn draw_faults(seed: u64, count: usize, until: TimeMs) -> Vec<Fault> {
     let mut rng = Pcg64Mcg::new(u128::from(seed) << 8 | 0x5f);
     (0..count)
         .map(|_| Fault {
-            kind: KINDS[rng.random_range(0..KINDS.len())],
+            kind: DRAWN_KINDS[rng.random_range(0..DRAWN_KINDS.len())],
             at: TimeMs(rng.random_range(500..until.0.max(501))),
             for_ms: DurationMs(rng.random_range(300..7_000)),
         })
--- a/ragwortwick-emulator/src/invariants.rs
+++ b/ragwortwick-emulator/src/invariants.rs
@@ -1,35 +1,35 @@
-//! What must always hold, judged by what workers see and the store keeps.
+//! Invariants, checked against what workers observe and the store holds.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use ragwortwick_area::{EndKind, JobPhase, TaskId};
 use ragwortwick_core::{DurationMs, JobId, TimeMs, WorkerName};
 
-/// Bound on new work for a worker that leaves.
-const DRAIN_MS: DurationMs = DurationMs(2_000);
+/// Time after a worker starts to drain in which runs may still start there.
+const MAX_START_AFTER_DRAIN_MS: DurationMs = DurationMs(2_000);
 
-/// Bound on new work of a cancelled job.
-const CANCEL_MS: DurationMs = DurationMs(3_000);
+/// Time after a job is cancelled in which its runs may still start.
+const MAX_START_AFTER_CANCEL_MS: DurationMs = DurationMs(3_000);
 
-/// Crashes of workers under one task after which its starts are counted, and starts that break the bound.
+/// Worker crashes by one task after which its starts are counted, and how many of them are a violation.
 const TOLERATED_CRASHES: u32 = 3;
 const EXCESSIVE_STARTS: u32 = 3;
 
-/// Crashes of workers under one task for which its job may be given up.
+/// Worker crashes by one task after which its job may fail.
 const CRASHES_FOR_FAILURE: u32 = 2;
 
-/// `GroundTruth` is what really happened, beside what any coordinator believes.
+/// `GroundTruth` records what really happened, independently of any coordinator's view.
 #[derive(Debug, Default)]
 pub(crate) struct GroundTruth {
-    /// Tasks of which an end `done` is known for good.
+    /// Tasks with an acknowledged completion.
     pub(crate) acked_done: BTreeSet<TaskId>,
-    /// Tasks of which a run ended `done`.
+    /// Tasks with a completed run.
     pub(crate) done: BTreeSet<TaskId>,
-    /// Failed runs that are known for good, by task; of a gang, by its first member and run.
+    /// Failed runs that are acknowledged, by task; those of a gang by its first member.
     pub(crate) acked_failed: BTreeMap<TaskId, BTreeSet<u32>>,
-    /// Runs that ended failed, by task; of a gang, by its first member.
+    /// Failed runs, by task; those of a gang by its first member.
     failed: BTreeMap<TaskId, BTreeSet<u32>>,
-    /// Crashes of workers that a task caused, and its starts after as many as are borne.
+    /// Worker crashes by a task, and its starts after the tolerated number of crashes.
     crashes: BTreeMap<TaskId, (u32, u32)>,
     pub(crate) violations: Vec<String>,
     pub(crate) starts: u64,
@@ -38,7 +38,7 @@
     pub(crate) by_job: BTreeMap<JobId, RunCounts>,
 }
 
-/// `RunCounts` is what befell the runs of one job.
+/// `RunCounts` counts the runs of one job by how they ended.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RunCounts {
     pub(crate) first_start: Option<TimeMs>,
@@ -47,7 +47,7 @@
     pub(crate) expired: u32,
 }
 
-/// `ObservedStart` is a run that a worker begins.
+/// `ObservedStart` is the start of a run, as observed on its worker.
 #[derive(Debug)]
 #[expect(
     clippy::struct_excessive_bools,
@@ -65,13 +65,13 @@
     pub(crate) has_label: bool,
     pub(crate) draining_since: Option<TimeMs>,
     pub(crate) cancelled_at: Option<TimeMs>,
-    pub(crate) is_step_open: bool,
+    pub(crate) is_step_ready: bool,
     pub(crate) is_due: bool,
-    pub(crate) same_step_here: u32,
+    pub(crate) same_step_count: u32,
     pub(crate) max_per_worker: Option<u32>,
     pub(crate) attempts: u32,
-    pub(crate) is_payload_right: bool,
-    pub(crate) is_checkpoint_right: bool,
+    pub(crate) has_own_payload: bool,
+    pub(crate) has_own_checkpoint: bool,
 }
 
 impl GroundTruth {
@@ -84,42 +84,42 @@
         let counts = self.by_job.entry(start.task.job_id.clone()).or_default();
         counts.first_start.get_or_insert(start.now);
         let (task, run, worker) = (start.task, start.run, start.worker);
-        let mut problems: Vec<String> = Vec::new();
+        let mut violations: Vec<String> = Vec::new();
         if !start.others.is_empty() {
-            problems.push(format!("runs twice, also on {:?}", start.others));
+            violations.push(format!("runs twice, also on {:?}", start.others));
         }
         if self.acked_done.contains(task) {
-            problems.push("started after its end was known".to_owned());
+            violations.push("started after its completion was acknowledged".to_owned());
         }
         if start.is_over_capacity {
-            problems.push("is over the worker's capacity".to_owned());
+            violations.push("exceeds the worker's capacity".to_owned());
         }
         if !start.has_label {
-            problems.push("the worker lacks its label".to_owned());
+            violations.push("the worker lacks the required label".to_owned());
         }
-        if !start.is_step_open {
-            problems.push("started before earlier steps were done".to_owned());
+        if !start.is_step_ready {
+            violations.push("started before earlier steps were done".to_owned());
         }
         if !start.is_due {
-            problems.push("started before its time".to_owned());
+            violations.push("started before its scheduled time".to_owned());
         }
         if start
             .max_per_worker
-            .is_some_and(|most| start.same_step_here > most)
+            .is_some_and(|limit| start.same_step_count > limit)
         {
-            problems.push("too many of its step on the worker".to_owned());
+            violations.push("more tasks of the step on the worker than allowed".to_owned());
         }
-        let first = TaskId {
+        let first_member = TaskId {
             index: 0,
             ..task.clone()
         };
         let failed = |id: &TaskId| self.acked_failed.get(id).map_or(0, BTreeSet::len);
-        let failures = failed(task).max(failed(&first));
+        let failures = failed(task).max(failed(&first_member));
         if failures >= start.attempts as usize {
-            problems.push(format!("started after {failures} failed runs"));
+            violations.push(format!("started after {failures} failed runs"));
         }
-        if !start.is_payload_right || !start.is_checkpoint_right {
-            problems.push("has a payload or checkpoint of another task".to_owned());
+        if !start.has_own_payload || !start.has_own_checkpoint {
+            violations.push("has a payload or checkpoint of another task".to_owned());
         }
         if !start.is_late
             && let Some((crashes, starts)) = self.crashes.get_mut(task)
@@ -127,34 +127,34 @@
         {
             *starts += 1;
             if *starts >= EXCESSIVE_STARTS {
-                problems.push(format!(
+                violations.push(format!(
                     "started {starts} times more after {crashes} crashes"
                 ));
             }
         }
         if !start.is_late {
-            let is_past =
+            let is_overdue =
                 |since: Option<TimeMs>, bound| since.is_some_and(|at| start.now.since(at) > bound);
-            if is_past(start.draining_since, DRAIN_MS) {
-                problems.push("started on a worker that leaves".to_owned());
+            if is_overdue(start.draining_since, MAX_START_AFTER_DRAIN_MS) {
+                violations.push("started on a draining worker".to_owned());
             }
-            if is_past(start.cancelled_at, CANCEL_MS) {
-                problems.push("started after its job was cancelled".to_owned());
+            if is_overdue(start.cancelled_at, MAX_START_AFTER_CANCEL_MS) {
+                violations.push("started after its job was cancelled".to_owned());
             }
         }
-        for problem in problems {
-            let text = format!("{task} run {run} on {worker}: {problem}");
+        for violation in violations {
+            let text = format!("{task} run {run} on {worker}: {violation}");
             self.report(start.now, &text);
         }
     }
 
-    /// A task crashed its worker.
+    /// Records that a task crashed its worker.
     pub(crate) fn record_crash(&mut self, task: &TaskId) {
         self.crashes.entry(task.clone()).or_default().0 += 1;
     }
 
-    /// A job is shown as failed: a task or gang of it must have failed as often as its queue allows, or
-    /// have crashed workers.
+    /// Checks a job that is reported as failed: one of its tasks or gangs must have failed as often as its
+    /// queue allows, or have crashed workers.
     pub(crate) fn check_failed_phase(&mut self, now: TimeMs, job_id: &JobId, attempts: u32) {
         let of_job = |task: &TaskId| task.job_id == *job_id;
         let mut failed = self.failed.iter();
@@ -163,7 +163,10 @@
         let has_crashed =
             crashes.any(|(task, (crashes, _))| of_job(task) && *crashes >= CRASHES_FOR_FAILURE);
         if !has_failed && !has_crashed {
-            self.report(now, &format!("{job_id} is shown as failed without cause"));
+            self.report(
+                now,
+                &format!("{job_id} is reported as failed without cause"),
+            );
         }
     }
 
@@ -191,7 +194,7 @@
         }
     }
 
-    /// A worker was told that an end is known.
+    /// Records that a run end was acknowledged to its worker.
     pub(crate) fn record_ack(&mut self, task: &TaskId, run: u32, kind: EndKind, is_gang: bool) {
         match kind {
             EndKind::Done => {
@@ -213,19 +216,22 @@
         is_all_done: bool,
     ) {
         if phase == JobPhase::Completed && !is_all_done {
-            self.report(now, &format!("{job_id} is shown as completed and is not"));
+            self.report(
+                now,
+                &format!("{job_id} is reported as completed and is not"),
+            );
         }
     }
 
     pub(crate) fn report_unfinished(&mut self, now: TimeMs, job_id: &JobId, phase: JobPhase) {
         self.report(
             now,
-            &format!("{job_id} is left {phase:?} with everything calm"),
+            &format!("{job_id} is still {phase:?} at the end of the simulation"),
         );
     }
 }
 
-/// The task that a run's failure counts for: a gang's members fail as one.
+/// Returns the task whose failures count the run's failure; the members of a gang share the first member's.
 fn failure_key(task: &TaskId, is_gang: bool) -> TaskId {
     let index = if is_gang { 0 } else { task.index };
     TaskId {
--- a/ragwortwick-emulator/src/lib.rs
+++ b/ragwortwick-emulator/src/lib.rs
@@ -1,7 +1,7 @@
-//! A model of the systems around the area coordinator, in virtual time and by seed.
+//! Deterministic simulation of the systems around the area coordinator, in virtual time and by seed.
 //!
-//! It holds a store, workers under leases, a network that loses and delays, and hosts that
-//! coordinate in turn. After each event it checks what must always hold, from what workers see.
+//! It models a store, workers under leases, a network that loses and delays messages, and hosts of which one
+//! is elected coordinator. Invariants are checked at each start on a worker and each write to the store.
 
 mod advisor;
 mod arrivals;
--- a/ragwortwick-emulator/src/network.rs
+++ b/ragwortwick-emulator/src/network.rs
@@ -1,4 +1,4 @@
-//! The network of the world: orders and answers that are delayed, lost or cut.
+//! The simulated network: orders and replies that are delayed or lost.
 
 use ragwortwick_area::{Action, Event, OrderReply, PollFailure};
 use ragwortwick_core::WorkerName;
@@ -76,7 +76,7 @@
         self.schedule_after(delay_ms, SimEvent::DeliverEvent { host, term, event });
     }
 
-    /// The machine of a crashed worker refuses the connection.
+    /// Replies as the machine of a crashed worker does, which refuses connections.
     pub(crate) fn reply_connection_refused(&mut self, host: usize, term: u64, action: &Action) {
         if let Action::Poll { worker, .. } = action {
             let event = Event::PollFailed {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Sends an answer back, unless answers are cut.
+    /// Sends a reply to the coordinator, or a timeout if replies are dropped.
     pub(crate) fn reply(&mut self, host: usize, term: u64, worker: &WorkerName, event: Event) {
         let is_lost = self.hosts[host].loses_replies || !self.hosts[host].reaches(worker);
         let (event, delay_ms) = if is_lost {
@@ -101,7 +101,7 @@
     }
 }
 
-/// What a coordinator hears in place of an answer that is lost.
+/// Returns the event that a coordinator receives in place of a lost reply.
 fn as_timeout(event: Event) -> Event {
     match event {
         Event::StartReplied {
--- a/ragwortwick-emulator/src/orders.rs
+++ b/ragwortwick-emulator/src/orders.rs
@@ -1,4 +1,4 @@
-//! Workers in the world: orders that arrive, and the runs that they begin.
+//! Delivery of orders to workers, and the start of runs.
 
 use ragwortwick_area::{Action, EndKind, Event, OrderReply, PollFailure, RefusalCause, TaskId};
 use ragwortwick_core::DurationMs;
@@ -8,7 +8,7 @@
 use crate::simulation::{SimEvent, Simulation};
 use crate::worker::{ActiveRun, Reachability, SimWorker, read_checkpoint};
 
-/// How long after it shrank a worker's capacity still counts as whole for what begins there.
+/// Time after a capacity has shrunk in which starts are still checked against the full capacity.
 const SHRINK_GRACE_MS: DurationMs = DurationMs(4_500);
 
 impl Simulation {
@@ -27,8 +27,9 @@
             _ => return,
         };
         let number = name.as_str().split('-').next().unwrap_or("");
-        let same = |worker: &SimWorker| worker.name.as_str().split('-').next() == Some(number);
-        let Some(index) = self.workers.iter().position(same) else {
+        let is_same_machine =
+            |worker: &SimWorker| worker.name.as_str().split('-').next() == Some(number);
+        let Some(index) = self.workers.iter().position(is_same_machine) else {
             return;
         };
         if !self.workers[index].is_up() {
@@ -54,7 +55,7 @@
                 let reply = if is_wrong_incarnation {
                     OrderReply::WrongLife
                 } else {
-                    self.start(
+                    self.start_run(
                         index,
                         term,
                         &task,
@@ -131,9 +132,9 @@
 
     #[expect(
         clippy::too_many_arguments,
-        reason = "an order to start is made of just these parts"
+        reason = "these are the fields of a start order"
     )]
-    pub(crate) fn start(
+    pub(crate) fn start_run(
         &mut self,
         index: usize,
         term: u64,
@@ -166,7 +167,7 @@
             .data_rack
             .as_ref()
             .is_some_and(|rack| rack.as_str() != self.workers[index].rack);
-        let penalty = if is_remote { 3.0 } else { 1.0 };
+        let remote_penalty = if is_remote { 3.0 } else { 1.0 };
         let failure_probability = arrival.failure_probability;
         let will_fail = self.workers[index].is_failing || self.rng.random_bool(failure_probability);
         let is_gang = spec.is_gang;
@@ -189,7 +190,7 @@
             saves_checkpoints: spec.saves_checkpoints,
         };
         if !is_gang {
-            let slowdown = self.workers[index].slowdown() * penalty;
+            let slowdown = self.workers[index].slowdown() * remote_penalty;
             active.start_work(self.now, slowdown, checkpoint_policy.restore_ms);
             if self.workers[index].is_hung {
                 active.pause(self.now);
@@ -205,7 +206,7 @@
         }
     }
 
-    /// Lets the task crash its worker after a while, if it is one that does.
+    /// Schedules the crash of the worker if the task is a crashing one.
     fn schedule_crash(&mut self, index: usize, task: &TaskId) {
         let crashing_task = self.arrivals[self.by_job[&task.job_id]].crashing_task;
         let Some(crashing_task) = crashing_task
@@ -237,17 +238,17 @@
             .filter(|other| other.is_up() && other.running.contains_key(task))
             .map(|other| other.name.clone())
             .collect();
-        let used = worker.used().plus(spec.need);
-        // Coordinators learn of what has shrunk by the worker's entry.
-        let is_just_shrunk = worker
+        let used_after = worker.used().plus(spec.need);
+        // Coordinators learn of a smaller capacity from the worker's entry, after a delay.
+        let is_recently_shrunk = worker
             .shrunk_at
             .is_some_and(|at| self.now.since(at) <= SHRINK_GRACE_MS);
-        let capacity = if is_just_shrunk {
+        let capacity = if is_recently_shrunk {
             self.options.workload.capacity
         } else {
             worker.capacity
         };
-        let same_step_here = worker
+        let same_step_count = worker
             .running
             .keys()
             .filter(|other| {
@@ -256,25 +257,25 @@
                     && other.step == task.step
             })
             .count();
-        let is_step_open = spec.after.iter().all(|&earlier| {
-            let before = &record.steps[earlier as usize];
+        let is_step_ready = spec.after.iter().all(|&dependency| {
+            let required = &record.steps[dependency as usize];
             let is_done = |index| {
                 let id = TaskId {
-                    step: earlier,
+                    step: dependency,
                     index,
                     ..task.clone()
                 };
                 self.ground_truth.done.contains(&id)
             };
-            if before.is_gang {
-                (0..before.count).any(is_done)
+            if required.is_gang {
+                (0..required.count).any(is_done)
             } else {
-                (0..before.count).all(is_done)
+                (0..required.count).all(is_done)
             }
         });
         let is_due = record.schedule.is_none()
             || self.now + DurationMs(250) >= record.due_unix_ms(task.occurrence);
-        let expected = format!("{}.{}.{}", task.job_id, task.occurrence, task.step);
+        let expected_step = format!("{}.{}.{}", task.job_id, task.occurrence, task.step);
         let stored = self.store.jobs.get(&task.job_id);
         let observed = ObservedStart {
             now: self.now,
@@ -283,20 +284,21 @@
             run,
             is_late,
             others,
-            is_over_capacity: !used.saturating_sub(capacity).is_zero(),
+            is_over_capacity: !used_after.saturating_sub(capacity).is_zero(),
             has_label: spec
                 .required_label
                 .as_ref()
                 .is_none_or(|label| label.as_str() == worker.label),
             draining_since: worker.draining_since,
             cancelled_at: stored.and_then(|job| job.cancelled_at),
-            is_step_open,
+            is_step_ready,
             is_due,
-            same_step_here: u32::try_from(same_step_here).unwrap_or(u32::MAX) + 1,
+            same_step_count: u32::try_from(same_step_count).unwrap_or(u32::MAX) + 1,
             max_per_worker: spec.max_per_worker,
             attempts: record.policy.attempts,
-            is_payload_right: *record.payload == *payload,
-            is_checkpoint_right: checkpoint.is_empty() || read_checkpoint(checkpoint).0 == expected,
+            has_own_payload: *record.payload == *payload,
+            has_own_checkpoint: checkpoint.is_empty()
+                || read_checkpoint(checkpoint).0 == expected_step,
         };
         self.ground_truth.check_start(&observed);
     }
--- a/ragwortwick-emulator/src/runs.rs
+++ b/ragwortwick-emulator/src/runs.rs
@@ -1,4 +1,4 @@
-//! Runs in the world: gangs that gather, work that ends, leases that run out, crashes.
+//! Runs on workers: forming of gangs, completion, expiry of leases, polls and crashes.
 
 use std::collections::BTreeSet;
 
@@ -9,7 +9,7 @@
 use crate::value::LostWorkCause;
 use crate::worker::{PendingPoll, Reachability};
 
-/// How long a worker is away whose process a task has crashed.
+/// How long a worker is down after a task has crashed it.
 const CRASH_OUTAGE_MS: u64 = 3_000;
 
 impl Simulation {
@@ -38,7 +38,7 @@
             .iter()
             .map(|(_, at)| self.workers[*at].rack.as_str())
             .collect();
-        let penalty = if spec.wants_same_rack && racks.len() > 1 {
+        let remote_penalty = if spec.wants_same_rack && racks.len() > 1 {
             3.0
         } else {
             1.0
@@ -46,7 +46,7 @@
         for (position, (id, at)) in members.iter().enumerate() {
             let worker = &self.workers[*at];
             let (slowdown, is_hung, checkpoint_policy) = (
-                worker.slowdown() * penalty,
+                worker.slowdown() * remote_penalty,
                 worker.is_hung,
                 worker.checkpoint_policy,
             );
@@ -78,16 +78,16 @@
     }
 
     pub(crate) fn end_if_current(&mut self, index: usize, task: &TaskId, run: u32, kind: EndKind) {
-        let is_there = self.workers[index]
+        let is_current = self.workers[index]
             .running
             .get(task)
             .is_some_and(|active| active.run == run);
-        if is_there {
+        if is_current {
             self.end_run(index, task, kind);
         }
     }
 
-    /// Lets what runs on some workers stand still, or go on.
+    /// Pauses or resumes all runs on the given workers.
     pub(crate) fn set_hung(&mut self, hung: &[usize], is_on: bool) {
         for &index in hung {
             self.workers[index].is_hung = is_on;
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Whether all members of a gang have done their work; they end together.
+    /// Whether all members of a gang have completed their work; they end together.
     fn is_gang_done(&self, key: &GangKey) -> bool {
         let Some(gang) = self.gangs.get(key) else {
             return true;
@@ -115,7 +115,7 @@
         })
     }
 
-    /// Ends a run on a worker, and with it what depends on it.
+    /// Ends a run on a worker, and with it the other members of its gang.
     pub(crate) fn end_run(&mut self, index: usize, task: &TaskId, kind: EndKind) {
         let Some(run) = self.workers[index].end(self.now, task, kind) else {
             return;
@@ -255,7 +255,7 @@
         arrival.record.steps[task.step as usize].is_gang
     }
 
-    /// A task crashes the process of its worker, unless it was stopped before.
+    /// Crashes the worker's process, unless the task no longer runs there.
     pub(crate) fn crash_by_task(&mut self, index: usize, name: &WorkerName, task: &TaskId) {
         let worker = &mut self.workers[index];
         if worker.name != *name || !worker.is_up() || !worker.running.contains_key(task) {
@@ -267,8 +267,8 @@
         self.schedule_after(CRASH_OUTAGE_MS, SimEvent::RestoreWorker(index));
     }
 
-    /// Everything on the worker ends without a trace; gangs lose a member. A look under way fails at once
-    /// if its connection is closed, and else when its answer is overdue.
+    /// Drops all runs of the worker, and breaks their gangs. A pending poll fails immediately if its
+    /// connection is closed, and otherwise at its timeout.
     pub(crate) fn crash_worker(&mut self, index: usize, failure: PollFailure) {
         let runs: Vec<(TaskId, u32)> = self.workers[index]
             .running
--- a/ragwortwick-emulator/src/simulation.rs
+++ b/ragwortwick-emulator/src/simulation.rs
@@ -1,4 +1,4 @@
-//! The world: virtual time, events in order, and everything that happens between the parts.
+//! The simulation: its state, virtual time, and the event loop.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -21,27 +21,27 @@
 use crate::worker::{CheckpointPolicy, SimWorker};
 use crate::workload::Workload;
 
-/// How often leases, gangs, elections and feeds are looked after.
+/// Interval of the checks of leases, gangs, elections and feeds.
 pub(crate) const TICK_MS: DurationMs = DurationMs(20);
 
-/// How often workers' entries reach the coordinator.
+/// Interval at which workers' entries and lease renewals reach the coordinator.
 pub(crate) const FEED_MS: DurationMs = DurationMs(400);
 
-/// Quiet time after the last arrival and fault, in which every job has to come to its end.
+/// Time without arrivals and faults at the end of a run, in which every job has to end.
 const SETTLE_MS: DurationMs = DurationMs(240_000);
 
-/// `SimulationOptions` shapes a run.
+/// `SimulationOptions` holds the parameters of a simulation.
 #[derive(Clone, Debug)]
 pub struct SimulationOptions {
-    /// Seed of everything that is drawn.
+    /// Seed of all random numbers.
     pub seed: u64,
     /// Number of workers.
     pub workers: u32,
-    /// Workers in a rack.
+    /// Number of workers in a rack.
     pub rack: u32,
-    /// What comes in.
+    /// Workers' capacity and submitted jobs.
     pub workload: Workload,
-    /// Bounds of the installation.
+    /// Limits that the coordinator's decisions depend on.
     pub limits: Limits,
 }
 
@@ -57,26 +57,26 @@
     }
 }
 
-/// `SimulationReport` is what a run showed.
+/// `SimulationReport` holds the results of a simulation.
 #[derive(Clone, Debug)]
 pub struct SimulationReport {
-    /// Broken promises, in words.
+    /// Violated invariants, as text.
     pub violations: Vec<String>,
     /// Jobs that were accepted.
     pub jobs: usize,
-    /// Jobs shown as completed.
+    /// Jobs reported as completed.
     pub completed: usize,
-    /// Runs begun.
+    /// Runs started.
     pub starts: u64,
     /// Runs stopped on order.
     pub stopped: u64,
-    /// Runs whose lease ran out.
+    /// Runs whose lease expired.
     pub expired: u64,
-    /// Starts that were refused for want of a ticket.
+    /// Starts refused for lack of a valid ticket.
     pub ticket_refusals: u64,
-    /// Core-seconds of work that was stopped or lost, by why.
+    /// Lost work in core-seconds, by cause.
     pub lost_core_s: BTreeMap<LostWorkCause, u64>,
-    /// What callers got of jobs without set times that were not cancelled and could be done.
+    /// Value earned by unscheduled jobs that were not cancelled and could be completed.
     pub value: ValueReport,
 }
 
@@ -88,11 +88,11 @@
     BeginFault(usize),
     EndFault(usize),
     WakeCoordinator(usize, u64),
-    /// A run that was told to stop ends: worker, task, run.
+    /// A stopped run ends: worker, task, run.
     FinishStop(usize, TaskId, u32),
-    /// A task crashes the worker that runs it: worker, its life, task.
+    /// A task crashes the worker that runs it: worker, its incarnation, task.
     CrashWorker(usize, WorkerName, TaskId),
-    /// A crashed worker is back.
+    /// A crashed worker is up again.
     RestoreWorker(usize),
     /// An order reaches a worker.
     DeliverOrder {
@@ -127,7 +127,7 @@
     pub(crate) will_fail: bool,
 }
 
-/// `Simulation` is one run.
+/// `Simulation` is one simulated run of an area.
 #[derive(Debug)]
 pub struct Simulation {
     pub(crate) options: SimulationOptions,
@@ -155,7 +155,7 @@
 }
 
 impl Simulation {
-    /// `new` draws a world.
+    /// `new` draws the jobs of a simulation, and schedules jobs and faults.
     #[must_use]
     pub fn new(options: SimulationOptions, mut faults: Vec<Fault>) -> Self {
         faults.extend(&options.workload.faults);
@@ -246,16 +246,16 @@
         self.schedule_at(self.now + DurationMs(span_ms), event);
     }
 
-    /// `run` plays everything and tells what was found.
+    /// `run` processes all events and returns the results.
     #[must_use]
     pub fn run(mut self) -> SimulationReport {
         let end = self.quiet_from + SETTLE_MS;
-        while let Some(Reverse((at, number))) = self.event_queue.pop() {
+        while let Some(Reverse((at, event_id))) = self.event_queue.pop() {
             self.now = at;
             if at > end || (at > self.quiet_from && self.is_settled()) {
                 break;
             }
-            if let Some(event) = self.events.remove(&number) {
+            if let Some(event) = self.events.remove(&event_id) {
                 self.handle(event);
             }
             if self.ground_truth.violations.len() > 20 {
@@ -276,8 +276,8 @@
 
     fn finish(mut self) -> SimulationReport {
         let mut value = ValueReport::default();
-        let arrived = self.arrivals.iter().map(|arrival| &*arrival.record);
-        let model = ValueModel::new(&self.options.workload, arrived);
+        let records = self.arrivals.iter().map(|arrival| &*arrival.record);
+        let model = ValueModel::new(&self.options.workload, records);
         let jobs: Vec<StoredJob> = self.store.jobs.values().cloned().collect();
         for job in &jobs {
             let phase = job.progress.as_ref().map_or(JobPhase::Queued, |p| p.phase);
@@ -325,21 +325,21 @@
         }
     }
 
-    /// Whether every run of the job fails or crashes its worker, so that nobody can do it.
+    /// Whether every run of the job fails or crashes its worker, so that it can't complete.
     fn is_infeasible(&self, job_id: &JobId) -> bool {
         let arrival = &self.arrivals[self.by_job[job_id]];
         arrival.failure_probability >= 1.0 || arrival.crashing_task.is_some()
     }
 
-    /// The objective by the true work, as callers feel it.
+    /// Returns the latency objective by the true duration of the work.
     pub(crate) fn objective_ms(&self, job_id: &JobId) -> u64 {
-        let terms = &self.arrivals[self.by_job[job_id]].record.policy;
-        terms
+        let policy = &self.arrivals[self.by_job[job_id]].record.policy;
+        policy
             .objective_ms(DurationMs(self.critical_path_ms(job_id)))
             .0
     }
 
-    /// True duration of all steps, each of which waits for the one before.
+    /// Returns the true duration of all steps, each of which waits for the previous one.
     fn critical_path_ms(&self, job_id: &JobId) -> u64 {
         let arrival = &self.arrivals[self.by_job[job_id]];
         arrival.work_ms.iter().map(|span| span.0).sum()
--- a/ragwortwick-emulator/src/store.rs
+++ b/ragwortwick-emulator/src/store.rs
@@ -1,4 +1,4 @@
-//! The store: jobs, their progress, and the coordinator's key under a lease.
+//! The simulated store: jobs, their progress, and the coordinator's key under a lease.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,18 +9,18 @@
 /// Time to live of the coordinator's lease.
 pub(crate) const LEASE_TTL_MS: DurationMs = DurationMs(2_000);
 
-/// `Store` keeps what lasts.
+/// `Store` holds the durable state.
 #[derive(Debug, Default)]
 pub(crate) struct Store {
     pub(crate) jobs: BTreeMap<JobId, StoredJob>,
     pub(crate) revision: u64,
-    /// Who coordinates: the term, and until when its lease lasts.
+    /// Term of the elected coordinator, and when its lease expires.
     pub(crate) coordinator: Option<(u64, TimeMs)>,
     pub(crate) is_unavailable: bool,
     pub(crate) loses_replies: bool,
 }
 
-/// `StoredJob` is one job's keys.
+/// `StoredJob` is the stored state of one job.
 #[derive(Clone, Debug)]
 pub(crate) struct StoredJob {
     pub(crate) record: Arc<JobRecord>,
@@ -29,7 +29,7 @@
 }
 
 impl Store {
-    /// The key's holder, unless its lease has run out.
+    /// Returns the term that holds the coordinator's key, unless its lease has expired.
     pub(crate) fn holder(&self, now: TimeMs) -> Option<u64> {
         self.coordinator
             .filter(|(_, until)| now < *until)
@@ -45,7 +45,7 @@
         Some(self.revision)
     }
 
-    /// Renews the lease; tells whether the term still holds it.
+    /// Renews the lease; returns whether the term still holds it.
     pub(crate) fn renew(&mut self, now: TimeMs, term: u64) -> bool {
         if self.holder(now) != Some(term) {
             return false;
--- a/ragwortwick-emulator/src/submissions.rs
+++ b/ragwortwick-emulator/src/submissions.rs
@@ -1,4 +1,4 @@
-//! Callers in the world: jobs handed in and cancelled.
+//! Submission and cancellation of jobs.
 
 use std::sync::Arc;
 
--- a/ragwortwick-emulator/src/ticks.rs
+++ b/ragwortwick-emulator/src/ticks.rs
@@ -1,4 +1,4 @@
-//! The passing of time: ticks, elections, renewals and feeds.
+//! Periodic work: ticks, elections, lease renewals and feeds.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -37,8 +37,8 @@
     }
 
     pub(crate) fn try_elect(&mut self, host: usize) {
-        let may_try = self.hosts[host].term.is_none() && self.hosts[host].reaches_store();
-        if !may_try {
+        let can_try = self.hosts[host].term.is_none() && self.hosts[host].reaches_store();
+        if !can_try {
             return;
         }
         let Some(number) = self.store.acquire_coordinator_key(self.now) else {
@@ -52,8 +52,8 @@
             .collect();
         let known_workers = entries.iter().map(|entry| entry.name.clone()).collect();
         let known_jobs = self.store.jobs.keys().cloned().collect();
-        let cancelled = self.store.jobs.values();
-        let known_cancelled = cancelled
+        let stored = self.store.jobs.values();
+        let known_cancelled = stored
             .filter(|job| job.cancelled_at.is_some())
             .map(|job| job.record.job_id.clone())
             .collect();
@@ -119,8 +119,8 @@
                 present.insert(worker.name.clone());
                 events.push(Event::WorkerUpdated(worker.entry(self.now)));
             }
-            let gone: Vec<_> = term.known_workers.difference(&present).cloned().collect();
-            events.extend(gone.into_iter().map(Event::WorkerRemoved));
+            let removed: Vec<_> = term.known_workers.difference(&present).cloned().collect();
+            events.extend(removed.into_iter().map(Event::WorkerRemoved));
             term.known_workers = present;
             events.push(Event::WorkersConfirmed);
         }
--- a/ragwortwick-emulator/src/value.rs
+++ b/ragwortwick-emulator/src/value.rs
@@ -1,4 +1,4 @@
-//! What callers get of what they are owed, by queue and by customer.
+//! Value that jobs earn of the value they can earn, by queue and by customer.
 
 use std::collections::BTreeMap;
 
@@ -9,20 +9,20 @@
 use crate::invariants::RunCounts;
 use crate::workload::{QueueWorkload, Workload};
 
-/// Up to this many times its objective a job is late; past it, it is worth nothing to its caller.
+/// A late job still has value up to this multiple of its objective; after it, it has none.
 const LATE_FACTOR: u64 = 3;
 
-/// `ValueAccount` is worth that was owed, and what was earned of it.
+/// `ValueAccount` sums the value that jobs could earn and the value they earned.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ValueAccount {
-    /// Value of all jobs that callers wait for.
+    /// Value of the jobs if all of them are in time.
     pub owed: f64,
-    /// Value of those that they got, by how late.
+    /// Value earned, which depends on how late each job completed.
     pub earned: f64,
 }
 
 impl ValueAccount {
-    /// `share` is what was earned of what was owed; all if nothing was.
+    /// `share` is the earned share of the value owed; 1 if none was owed.
     #[must_use]
     pub fn share(&self) -> f64 {
         if self.owed > 0.0 {
@@ -38,27 +38,27 @@
     }
 }
 
-/// `ValueLossCause` is the first of the things that befell a job whose worth was lost in part.
+/// `ValueLossCause` is the first applicable reason why a job lost value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ValueLossCause {
     /// A run of it failed.
     Failed,
-    /// The lease of a run ran out.
+    /// The lease of a run expired.
     Lapsed,
-    /// It began in time, and a run of it was stopped.
+    /// It started in time, and a run of it was stopped.
     Displaced,
-    /// It began when it could no longer be in time.
+    /// It started too late to meet its objective.
     Waited,
-    /// None of these: it ran slowly, or its later steps waited.
+    /// None of the above: it ran slowly, or its later steps waited.
     Slow,
 }
 
-/// `LostWorkCause` is why work was thrown away.
+/// `LostWorkCause` is why work was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LostWorkCause {
-    /// It was stopped for other work, or since its worker was about to leave.
+    /// It was preempted, or its worker was draining.
     Displaced,
     /// Its caller cancelled it.
     Cancelled,
@@ -66,7 +66,7 @@
     Failed,
     /// Another member of its gang failed or ended.
     Broken,
-    /// Its lease ran out, or its gang never came together.
+    /// Its lease expired, or its gang was never complete.
     Lapsed,
 }
 
@@ -82,20 +82,20 @@
     }
 }
 
-/// `JobOutcome` is what became of one job.
+/// `JobOutcome` is the outcome of one job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobOutcome {
     /// Its queue.
     pub queue: String,
     /// Its customer.
     pub customer: String,
-    /// Its steps in short.
+    /// Short description of its steps.
     pub steps: String,
-    /// What it was worth.
+    /// Value it could earn.
     pub owed: f64,
-    /// What its caller got of that.
+    /// Value it earned.
     pub earned: f64,
-    /// Time from acceptance within which it was to be done.
+    /// Latency objective, from its acceptance.
     pub objective_ms: u64,
     /// Time from acceptance to its first start.
     pub first_start_ms: Option<u64>,
@@ -103,11 +103,11 @@
     pub latency_ms: Option<u64>,
     /// Runs that were stopped.
     pub stopped: u32,
-    /// Why something was lost, if so.
+    /// Why it lost value, if it did.
     pub cause: Option<ValueLossCause>,
 }
 
-/// `ValueReport` sums what callers got.
+/// `ValueReport` sums the value that jobs earned.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ValueReport {
     /// All jobs.
@@ -119,19 +119,19 @@
     pub by_customer: BTreeMap<String, ValueAccount>,
     /// Value that was lost, by cause.
     pub lost: BTreeMap<ValueLossCause, f64>,
-    /// Every job.
+    /// Outcome of every job.
     pub outcomes: Vec<JobOutcome>,
 }
 
-/// `ValueModel` tells what a job is worth within its objective.
+/// `ValueModel` computes the value of a job that meets its objective.
 pub(crate) struct ValueModel<'a> {
     workload: &'a Workload,
-    /// Mean work of a queue's jobs.
+    /// Mean work of the jobs of each queue.
     means: BTreeMap<&'a str, f64>,
 }
 
 impl<'a> ValueModel<'a> {
-    /// Weighs by the mean work of each queue's jobs that come in.
+    /// Creates the model from the mean work of each queue's submitted jobs.
     pub(crate) fn new(
         workload: &'a Workload,
         records: impl Iterator<Item = &'a JobRecord>,
@@ -156,7 +156,7 @@
         self.workload.queues.iter().find(|queue| queue.name == name)
     }
 
-    /// Large jobs are worth more, at seven tenths of their work and up to four times the mean.
+    /// Returns a job's size relative to the mean: 0.3 plus 0.7 times its relative work, at most 4.
     fn relative_size(&self, record: &JobRecord) -> f64 {
         let mean = self.means.get(record.queue.as_str()).copied();
         (0.3 + 0.7 * job_work(record) / mean.unwrap_or(1.0).max(f64::MIN_POSITIVE)).min(4.0)
@@ -164,7 +164,7 @@
 }
 
 impl ValueReport {
-    /// Takes in one job that its caller waited for.
+    /// Adds one job to the totals.
     pub(crate) fn add_job(
         &mut self,
         model: &ValueModel<'_>,
@@ -174,7 +174,7 @@
         let Some(queue) = model.queue(record) else {
             return;
         };
-        let size = model.relative_size(record);
+        let relative_size = model.relative_size(record);
         let earned = match observation.latency_ms {
             Some(latency_ms) if latency_ms <= observation.objective_ms => queue.weight,
             Some(latency_ms) if latency_ms <= observation.objective_ms * LATE_FACTOR => {
@@ -182,13 +182,13 @@
             }
             _ => 0.0,
         };
-        let (owed, earned) = (queue.weight * size, earned * size);
+        let (owed, earned) = (queue.weight * relative_size, earned * relative_size);
         self.total.add(owed, earned);
-        let of_queue = self.by_queue.entry(queue.name.clone()).or_default();
-        of_queue.add(owed, earned);
+        let queue_account = self.by_queue.entry(queue.name.clone()).or_default();
+        queue_account.add(owed, earned);
         let customer = record.customer.as_str().to_owned();
-        let of_customer = self.by_customer.entry(customer.clone()).or_default();
-        of_customer.add(owed, earned);
+        let customer_account = self.by_customer.entry(customer.clone()).or_default();
+        customer_account.add(owed, earned);
         let cause = (earned < owed).then(|| observation.cause());
         if let Some(cause) = cause {
             *self.lost.entry(cause).or_insert(0.0) += owed - earned;
@@ -208,10 +208,10 @@
     }
 }
 
-/// `JobObservation` is what the world saw of one job; spans count from its acceptance.
+/// `JobObservation` is what the simulation observed of one job; times count from its acceptance.
 pub(crate) struct JobObservation {
     pub(crate) objective_ms: u64,
-    /// Duration of its longest chain of steps.
+    /// Duration of its critical path.
     pub(crate) critical_path_ms: u64,
     pub(crate) first_start_ms: Option<u64>,
     pub(crate) latency_ms: Option<u64>,
@@ -220,14 +220,14 @@
 
 impl JobObservation {
     fn cause(&self) -> ValueLossCause {
-        let begins_in_time = self
+        let can_meet_objective = self
             .first_start_ms
             .is_some_and(|at| at + self.critical_path_ms <= self.objective_ms);
         if self.counts.failed > 0 {
             ValueLossCause::Failed
         } else if self.counts.expired > 0 {
             ValueLossCause::Lapsed
-        } else if !begins_in_time {
+        } else if !can_meet_objective {
             ValueLossCause::Waited
         } else if self.counts.stopped > 0 {
             ValueLossCause::Displaced
--- a/ragwortwick-emulator/src/workload.rs
+++ b/ragwortwick-emulator/src/workload.rs
@@ -1,4 +1,4 @@
-//! Loads as data: what an installation's workers have, what callers hand in, and what it is worth.
+//! Workloads as data: the capacity of the workers, the submitted jobs, and their value.
 
 use ragwortwick_area::Resources;
 use ragwortwick_core::DurationMs;
@@ -6,45 +6,45 @@
 
 use crate::faults::Fault;
 
-/// The load that the fixed seeds of the tests are drawn from.
+/// Default workload, which the fixed seeds of the tests are drawn from.
 const ACCELERATORS: &str = include_str!("../loads/accelerators.json");
 
-/// `Workload` is one installation and what comes in there.
+/// `Workload` describes one installation and the jobs submitted to it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workload {
-    /// The load pattern, in words.
+    /// Description of the workload.
     pub about: String,
-    /// What each worker has.
+    /// Capacity of each worker.
     pub capacity: Resources,
-    /// Speeds of the workers in per cent, dealt out in turn.
+    /// Speeds of the workers in per cent, assigned round-robin.
     pub speeds_percent: Vec<u32>,
-    /// Whether a start from a checkpoint leaves out what was saved.
+    /// Whether a start from a checkpoint skips the work that was saved.
     ///
-    /// The seeds that are kept as regression cases were found without it.
+    /// The seeds kept as regression tests were found with this disabled.
     pub restores: bool,
-    /// How long a stop takes.
+    /// Duration of a stop.
     pub stop_ms: u64,
     /// Share of all accelerators that each customer is guaranteed.
     pub guaranteed_shares: Vec<f64>,
-    /// How long jobs come in.
+    /// Period in which jobs are submitted.
     pub for_ms: DurationMs,
     /// Share of jobs that are cancelled some time after their acceptance.
     pub cancelled: f64,
-    /// Share of runs that fail, of jobs that can be done.
+    /// Share of runs that fail, among jobs that can complete.
     pub failing: f64,
     /// Share of jobs with a task that crashes each worker that starts it.
     #[serde(default)]
     pub crashing: f64,
-    /// Times at which a queue brings more.
+    /// Periods with a higher arrival rate.
     pub bursts: Vec<Burst>,
-    /// Troubles that belong to the load, beside those that are drawn.
+    /// Faults that are part of the workload, in addition to drawn ones.
     pub faults: Vec<Fault>,
     /// The queues.
     pub queues: Vec<QueueWorkload>,
 }
 
-/// `Burst` multiplies what a queue brings for a while.
+/// `Burst` multiplies the arrival rate of a queue for a period.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Burst {
@@ -54,51 +54,51 @@
     pub at_ms: u64,
     /// How long it lasts.
     pub for_ms: u64,
-    /// How many times as much comes in.
+    /// Factor on the arrival rate.
     pub times: f64,
 }
 
-/// `QueueWorkload` is what one queue's jobs look like.
+/// `QueueWorkload` describes the arrival rate and the jobs of one queue.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct QueueWorkload {
     /// Name of the queue.
     pub name: String,
-    /// Jobs a second.
+    /// Arrival rate in jobs per second.
     pub per_s: f64,
-    /// Zero comes first.
+    /// Priority; 0 is the highest.
     pub priority: u32,
-    /// Runs of a task that may fail.
+    /// Number of failed runs of a task after which its job fails.
     pub attempts: u32,
-    /// The objective is this many times the longest chain of work, and `target_latency_ms` more.
+    /// Factor on the critical path in the latency objective, to which `target_latency_ms` is added.
     pub stretch: f64,
-    /// Constant part of the objective.
+    /// Constant part of the latency objective.
     pub target_latency_ms: DurationMs,
-    /// What a job of mean size is worth to its callers within its objective.
+    /// Value of a job of mean size that meets its objective.
     pub weight: f64,
-    /// The same up to three times the objective.
+    /// Value of one that completes within three times its objective.
     pub late_weight: f64,
-    /// What one task takes beside accelerators.
+    /// Demand of one task besides accelerators.
     pub need: TaskDemand,
-    /// Accelerators of one task, of which each step draws one figure.
+    /// Numbers of accelerators per task, of which each step draws one.
     pub accelerators: Vec<u64>,
     /// Mean number of tasks of a step.
     pub width: f64,
     /// Largest number of tasks of a step.
     pub widest: u32,
-    /// Sigma of the log-normal width; zero draws evenly between a fifth and nearly twice the mean.
+    /// Sigma of the log-normal width; zero draws uniformly between 0.2 and 1.9 times the mean.
     pub width_sigma: f64,
     /// Mean duration of a task.
     pub work_ms: f64,
-    /// Least and largest factor by which an estimate differs from the true duration.
+    /// Range of the ratio of an estimate to the true duration.
     pub estimate_factors: [f64; 2],
-    /// Sigma of log-normal factors instead of these; zero for none.
+    /// Sigma of a log-normal ratio, used instead of the range; zero to use the range.
     pub estimate_sigma: f64,
-    /// Share of steps whose tasks work only together.
+    /// Share of steps whose tasks form a gang.
     pub gang: f64,
-    /// Share of these that want one rack.
+    /// Share of gangs that prefer a single rack.
     pub same_rack: f64,
-    /// Most accelerators of a gang that wants one rack.
+    /// Largest number of accelerators of a gang that prefers a single rack.
     pub most_in_rack: u64,
     /// Share of jobs with a second step that waits for the first.
     pub second_step: f64,
@@ -106,15 +106,15 @@
     pub saves: f64,
     /// Share of steps that require a label.
     pub labelled: f64,
-    /// Share of steps with at most two tasks on a worker.
+    /// Share of steps limited to two tasks per worker.
     pub spread_out: f64,
-    /// Share of jobs that repeat at set times.
+    /// Share of jobs that repeat on a schedule.
     pub timed: f64,
     /// Whether its jobs run only where an advisor allows them.
     pub advised: bool,
 }
 
-/// `TaskDemand` is what a task takes beside accelerators.
+/// `TaskDemand` is the demand of a task besides accelerators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TaskDemand {
@@ -126,13 +126,13 @@
 
 impl Default for Workload {
     fn default() -> Self {
-        // A test plays this load, so a file that can't be read is noticed there.
-        serde_json::from_str(ACCELERATORS).expect("the load that is built in is well-formed")
+        // A test runs this workload, and would fail if the file were malformed.
+        serde_json::from_str(ACCELERATORS).expect("the built-in workload is well-formed")
     }
 }
 
 impl Workload {
-    /// `with_arrival_rates` sets how many jobs a second each queue brings, in their order.
+    /// `with_arrival_rates` sets the arrival rates of the queues, in order.
     #[must_use]
     pub fn with_arrival_rates(mut self, per_s: &[f64]) -> Self {
         for (queue, &per_s) in self.queues.iter_mut().zip(per_s) {
@@ -141,16 +141,16 @@
         self
     }
 
-    /// `scaled` brings the given multiple of all jobs.
+    /// `scaled` multiplies all arrival rates.
     #[must_use]
-    pub fn scaled(mut self, times: f64) -> Self {
+    pub fn scaled(mut self, factor: f64) -> Self {
         for queue in &mut self.queues {
-            queue.per_s *= times;
+            queue.per_s *= factor;
         }
         self
     }
 
-    /// `with_advisor` lets the middle queue's jobs run only where an advisor allows them.
+    /// `with_advisor` makes the queue of priority 1 run jobs only where an advisor allows them.
     #[must_use]
     pub fn with_advisor(mut self) -> Self {
         for queue in self.queues.iter_mut().filter(|queue| queue.priority == 1) {
@@ -159,13 +159,13 @@
         self
     }
 
-    /// How many times as much as usual a queue brings at a moment.
-    pub(crate) fn factor_at(&self, queue: &str, at_ms: f64) -> f64 {
+    /// Returns the factor on a queue's arrival rate at the given time.
+    pub(crate) fn rate_factor_at(&self, queue: &str, at_ms: f64) -> f64 {
         let mut factor = 1.0;
         for burst in self.bursts.iter().filter(|burst| burst.queue == queue) {
-            let from = crate::arrivals::as_float(burst.at_ms);
+            let start = crate::arrivals::as_float(burst.at_ms);
             let span = crate::arrivals::as_float(burst.for_ms);
-            if (from..from + span).contains(&at_ms) {
+            if (start..start + span).contains(&at_ms) {
                 factor *= burst.times;
             }
         }
