--- a/ragwortwick-area/src/headroom.rs
+++ b/ragwortwick-area/src/headroom.rs
@@ -113,7 +113,7 @@
 
 #[expect(
     clippy::cast_precision_loss,
-    reason = "accelerators of an area and durations in milliseconds are exact in a float"
+    reason = "accelerators of an area and spans in milliseconds are exact in a float"
 )]
 fn to_f64(number: u64) -> f64 {
     number as f64
--- a/ragwortwick-area/src/placement.rs
+++ b/ragwortwick-area/src/placement.rs
@@ -234,7 +234,7 @@
 
     #[expect(
         clippy::too_many_arguments,
-        reason = "each argument is one independent part of a placement"
+        reason = "one placement is made of just these parts"
     )]
     fn place_on_slot(
         &mut self,
--- a/ragwortwick-area/src/preemption.rs
+++ b/ragwortwick-area/src/preemption.rs
@@ -277,7 +277,7 @@
 
 #[expect(
     clippy::cast_precision_loss,
-    reason = "amounts of work are far below the largest integer that a float holds exactly"
+    reason = "amounts of work are far below what a float holds exactly"
 )]
 fn core_seconds(need: Resources, lost_ms: u64) -> f64 {
     need.core_equivalents().max(1) as f64 * lost_ms as f64 / 1_000.0
--- a/ragwortwick-area/src/preemption_plan.rs
+++ b/ragwortwick-area/src/preemption_plan.rs
@@ -252,7 +252,7 @@
 /// How much of one task's demand is freed: the sum of the shares over the resources that it needs.
 #[expect(
     clippy::cast_precision_loss,
-    reason = "amounts on one worker are far below the largest integer that a float holds exactly"
+    reason = "amounts on one worker are far below what a float holds exactly"
 )]
 fn freed_share(freed: Resources, spec: &StepSpec) -> f64 {
     let need = spec.demand();
--- a/ragwortwick-area/src/speed.rs
+++ b/ragwortwick-area/src/speed.rs
@@ -83,7 +83,7 @@
     /// Adds a duration; returns the logarithm of its ratio to the mean of the others, if there are any.
     #[expect(
         clippy::cast_precision_loss,
-        reason = "durations of hours in milliseconds are exact in a float"
+        reason = "spans of hours in milliseconds are exact in a float"
     )]
     fn add_duration(&mut self, duration_ms: DurationMs) -> Option<f64> {
         let log = (duration_ms.0 as f64).ln();
--- a/ragwortwick-area/src/value.rs
+++ b/ragwortwick-area/src/value.rs
@@ -15,7 +15,7 @@
 /// Cores that one accelerator counts for, as a float.
 #[expect(
     clippy::cast_precision_loss,
-    reason = "the constant is a small integer"
+    reason = "the figure is a small whole number"
 )]
 const CORES_PER_ACCELERATOR_AS_FLOAT: f64 = CORES_PER_ACCELERATOR as f64;
 
@@ -143,7 +143,7 @@
 
 #[expect(
     clippy::cast_precision_loss,
-    reason = "amounts on one worker are far below the largest integer that a float holds exactly"
+    reason = "amounts on one worker are far below what a float holds exactly"
 )]
 fn task_work(spec: &crate::job::StepSpec) -> f64 {
     let accelerators = spec.need.accelerators as f64 + spec.need.cpu_millis as f64 / 8_000.0;
--- a/ragwortwick-http/src/client.rs
+++ b/ragwortwick-http/src/client.rs
@@ -40,7 +40,7 @@
 /// `HttpError` is the reason why a request got no usable response.
 #[derive(Debug, Display)]
 pub enum HttpError {
-    /// request not sent to {address}: {cause}
+    /// not sent to {address}: {cause}
     NotSent {
         /// Address of the server.
         address: String,
@@ -49,7 +49,7 @@
         /// Whether the connection was refused: the machine is reachable, but no process listens there.
         is_closed: bool,
     },
-    /// no complete response from {address}: {cause}
+    /// no whole answer from {address}: {cause}
     NoResponse {
         /// Address of the server.
         address: String,
@@ -58,7 +58,7 @@
         /// Whether the server closed the connection; if not, a timeout expired or the body failed.
         is_closed: bool,
     },
-    /// {address} responded with status {status}: {body}
+    /// {address} answered {status}: {body}
     Status {
         /// Address of the server.
         address: String,
@@ -67,14 +67,14 @@
         /// Body as text.
         body: String,
     },
-    /// response from {address} is too large: {cause}
+    /// too long an answer from {address}: {cause}
     TooLarge {
         /// Address of the server.
         address: String,
         /// The limit that the body exceeds.
         cause: String,
     },
-    /// malformed response from {address}: {cause}
+    /// malformed answer from {address}: {cause}
     Malformed {
         /// Address of the server.
         address: String,
@@ -214,7 +214,7 @@
             is_closed,
         };
         let timed_out = |timeout_ms: DurationMs| {
-            no_response(format!("no response within {timeout_ms} ms"), false)
+            no_response(format!("no answer within {timeout_ms} ms"), false)
         };
         let exchange = async {
             let response = timeout(timeouts.head_timeout_ms.into(), self.inner.request(request));
--- a/ragwortwick-http/src/response_body.rs
+++ b/ragwortwick-http/src/response_body.rs
@@ -34,9 +34,9 @@
 /// `BodyError` is the reason why a body could not be read completely.
 #[derive(Debug, Display)]
 pub(crate) enum BodyError {
-    /// no data received for {0} ms
+    /// nothing more came for {0} ms
     IdleTimeout(DurationMs),
-    /// larger than {0} bytes
+    /// longer than {0} bytes
     TooLarge(usize),
     /// {0}
     Read(String),
--- a/ragwortwick-http/tests/http_bounds.rs
+++ b/ragwortwick-http/tests/http_bounds.rs
@@ -169,7 +169,7 @@
         .await
         .expect_err("the response stalls");
     assert!(matches!(error, HttpError::NoResponse { .. }), "{error}");
-    assert!(error.to_string().contains("no data received"), "{error}");
+    assert!(error.to_string().contains("nothing more came"), "{error}");
     assert!(!error.is_closed(), "{error}");
     drop(client);
     peer.await.expect("the peer task ended");
