--- a/ragwortwick-standin/src/area/fleet.rs
+++ b/ragwortwick-standin/src/area/fleet.rs
@@ -38,7 +38,8 @@
     /// Relay between each host and the store, by host name.
     store_relays: BTreeMap<HostName, Relay>,
     heartbeats: JoinHandle<()>,
-    spawned: usize,
+    /// Number of hosts started so far, from which their names are formed.
+    spawned_hosts: usize,
 }
 
 impl AreaFleet {
@@ -46,7 +47,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if a port or process can't be had.
+    /// Fails if a port can't be bound or a process can't be started.
     pub async fn spawn(binary: &str, hosts: usize, workers: usize) -> Result<Self, FleetError> {
         let store = Arc::new(AreaStore::bind("127.0.0.1:0").await?);
         let workers = Arc::new(AreaWorkers::spawn(workers, &store).await?);
@@ -67,7 +68,7 @@
             http: HttpClient::new(&HttpClientOptions::default()),
             store_relays: BTreeMap::new(),
             heartbeats,
-            spawned: 0,
+            spawned_hosts: 0,
         };
         for _ in 0..hosts {
             let host = fleet.spawn_host().await?;
@@ -116,10 +117,10 @@
     ///
     /// # Errors
     ///
-    /// Fails if the process can't be had.
+    /// Fails if a port can't be bound or the process can't be started.
     pub async fn spawn_host(&mut self) -> Result<Daemon, FleetError> {
-        self.spawned += 1;
-        let host = HostName::new(format!("host-{}", self.spawned));
+        self.spawned_hosts += 1;
+        let host = HostName::new(format!("host-{}", self.spawned_hosts));
         let relay = Relay::bind("127.0.0.1:0", self.store.address()).await?;
         let store_address = relay.address().to_string();
         self.store_relays.insert(host.clone(), relay);
@@ -230,7 +231,7 @@
     }
 }
 
-/// Returns a desired state with two queues for the test workers; the second requires advice.
+/// `desired` returns a desired state with two queues for the test workers; the second requires advice.
 #[must_use]
 pub fn desired(version: u64) -> Value {
     json!({
@@ -250,7 +251,7 @@
     })
 }
 
-/// Returns a job of one step whose payload configures the test workers.
+/// `area_job` returns a job of one step whose payload configures the test workers.
 #[must_use]
 pub fn area_job(count: u64, work_ms: u64, is_gang: bool) -> Value {
     let gang_size = if is_gang { count } else { 1 };
--- a/ragwortwick-standin/src/area/worker_routes.rs
+++ b/ragwortwick-standin/src/area/worker_routes.rs
@@ -34,7 +34,7 @@
 
 /// Reads a request body if the request is addressed to the current incarnation of this worker.
 ///
-/// An unresponsive worker does not proceed until that fault is cleared.
+/// The request waits as long as the worker is set to be unresponsive.
 async fn read_request(state: &mut State) -> Result<(WorkerContext, Value), Response<Body>> {
     let context = WorkerContext::borrow_from(state).clone();
     let mut changed = context.pool.changed.subscribe();
--- a/ragwortwick-standin/src/area/workers.rs
+++ b/ragwortwick-standin/src/area/workers.rs
@@ -24,7 +24,7 @@
 /// Interval at which finished runs and expired leases are processed.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Maximum length of a lease that a worker accepts.
+/// Maximum length of a lease; a worker shortens longer ones to it.
 pub(super) const MAX_LEASE_MS: u64 = 4_000;
 
 /// `Payload` configures the behaviour of a task on a test worker.
