--- a/ragwortwick-area/src/coordinator.rs
+++ b/ragwortwick-area/src/coordinator.rs
@@ -21,8 +21,8 @@
 
 /// How long a coordinator keeps renewing worker leases after its own lease has ended.
 ///
-/// Runs survive a store outage of the lease plus this time. A successor waits for the same time before it
-/// abandons a run on an unreachable worker.
+/// Runs survive a store outage that lasts as long as that lease plus this time. A successor waits for the
+/// same time before it abandons a run on an unreachable worker.
 pub(crate) const RENEWAL_AFTER_LEASE_LOSS_MS: DurationMs = DurationMs(4_000);
 
 /// Maximum age of the worker list for placement.
@@ -37,7 +37,7 @@
 ///
 /// On a busy host a pass takes many times as long as on an idle one. If the pause were counted from the start
 /// of the pass, the next one would be due at the next event, and each worker reply would wait for a pass.
-const PAUSE_PER_PASS: u64 = 3;
+const PASS_PAUSE_FACTOR: u64 = 3;
 
 /// Maximum pause between two placement passes; urgent work has to start within a second or two.
 const MAX_PASS_PAUSE_MS: DurationMs = DurationMs(200);
@@ -266,7 +266,7 @@
     /// The pause after a placement pass is counted from this time.
     pub fn record_call_end(&mut self, now: TimeMs) {
         if let Some(started_at) = self.pass_started_at.take() {
-            let pause_ms = DurationMs(now.since(started_at).0 * PAUSE_PER_PASS)
+            let pause_ms = DurationMs(now.since(started_at).0 * PASS_PAUSE_FACTOR)
                 .clamp(MIN_PASS_PAUSE_MS, MAX_PASS_PAUSE_MS);
             self.next_pass_at = now + pause_ms;
         }
@@ -338,12 +338,12 @@
         if job.occurrences.iter().all(Vec::is_empty) {
             job.phase = JobPhase::Completed;
         }
-        self.record_work(&job);
+        self.record_submitted_work(&job);
         self.jobs.insert(job_id.clone(), job);
         self.open_jobs.insert(job_id);
     }
 
-    pub(crate) fn record_work(&mut self, job: &JobState) {
+    pub(crate) fn record_submitted_work(&mut self, job: &JobState) {
         let submitted = self
             .submitted_work
             .entry(job.record.queue.clone())
--- a/ragwortwick-area/src/messages.rs
+++ b/ragwortwick-area/src/messages.rs
@@ -185,7 +185,7 @@
         /// Its run.
         run: u32,
     },
-    /// A start order was replied to, or timed out.
+    /// A worker replied to a start order, or no reply arrived.
     StartReplied {
         /// The worker.
         worker: WorkerName,
@@ -196,7 +196,7 @@
         /// The reply.
         reply: OrderReply,
     },
-    /// A stop order was replied to, or timed out.
+    /// A worker replied to a stop order, or no reply arrived.
     StopReplied {
         /// The worker.
         worker: WorkerName,
@@ -257,7 +257,7 @@
     pub progress: JobProgress,
     /// Whether the phase visible to clients differs from the last record.
     pub has_new_phase: bool,
-    /// Accounting of the job, with the record of its end; it isn't stored.
+    /// Accounting of the job, only in the record of its end; it is logged and not stored.
     pub accounting: Option<JobAccounting>,
 }
 
@@ -326,7 +326,7 @@
         step: StepId,
         /// The workers.
         workers: Vec<WorkerName>,
-        /// Maximum time that the advisor takes if it has no other request.
+        /// Maximum time that the advisor takes to reply if it has no other request.
         answer_ms: DurationMs,
     },
     /// Order a worker to stop a run.
--- a/ragwortwick-area/src/outcome.rs
+++ b/ragwortwick-area/src/outcome.rs
@@ -25,7 +25,7 @@
     None,
     /// The other members of the gang have to stop.
     StopGang,
-    /// The job has ended; its remaining runs have to stop.
+    /// The job has failed, and its remaining runs have to stop, or it has completed.
     EndJob,
 }
 
--- a/ragwortwick-area/src/polls.rs
+++ b/ragwortwick-area/src/polls.rs
@@ -18,14 +18,16 @@
 /// The platform accepts at most 2,000 ms; polls put load on the worker, so the maximum is used.
 const POLL_WAIT_MS: DurationMs = DurationMs(2_000);
 
-/// Wait where fillers may affect latency-sensitive tasks: the load in a report covers the last half second.
+/// Poll wait where fillers may affect latency-sensitive tasks: the load in a report covers the last half
+/// second.
 const SHARED_POLL_WAIT_MS: DurationMs = DurationMs(500);
 
-/// Minimum wait where urgent work runs: a stall has to be detected while a restart elsewhere still helps.
-const URGENT_POLL_WAIT_MS: DurationMs = DurationMs(500);
+/// Minimum poll wait where urgent work runs: a stall has to be detected while a restart elsewhere still
+/// helps.
+const MIN_URGENT_POLL_WAIT_MS: DurationMs = DurationMs(500);
 
-/// Additional wait for each worker of the area: the replies of many workers would otherwise delay decisions
-/// on a small host.
+/// Poll wait per worker of the area where urgent work runs, from the above minimum up to `POLL_WAIT_MS`: the
+/// replies of many workers would otherwise delay decisions on a small host.
 const URGENT_POLL_MS_PER_WORKER: u64 = 5;
 
 /// Pause between polls of an unresponsive worker.
@@ -43,7 +45,7 @@
         }
         let mut next_poll_at: Option<TimeMs> = None;
         let urgent_wait_ms = DurationMs(self.workers.len() as u64 * URGENT_POLL_MS_PER_WORKER)
-            .clamp(URGENT_POLL_WAIT_MS, POLL_WAIT_MS);
+            .clamp(MIN_URGENT_POLL_WAIT_MS, POLL_WAIT_MS);
         for (name, worker) in &mut self.workers {
             let PollState::Idle { next_at } = worker.poll else {
                 continue;
--- a/ragwortwick-area/src/recovery.rs
+++ b/ragwortwick-area/src/recovery.rs
@@ -20,7 +20,7 @@
         if let Some(progress) = &recovered.progress {
             recovered_runs = job.restore(now.steady, progress);
         }
-        self.record_work(&job);
+        self.record_submitted_work(&job);
         let is_ended = job.phase.is_final();
         for (task, worker_name) in recovered_runs {
             let (Some(spec), Some(state)) = (job.spec(task.step), job.task(&task)) else {
--- a/ragwortwick-area/src/run_ends.rs
+++ b/ragwortwick-area/src/run_ends.rs
@@ -14,11 +14,11 @@
 use crate::outcome::{FollowUp, RunOutcome};
 use crate::worker::PollState;
 
-/// Number of consecutive failed runs, of any jobs, after which a worker is suspected of being faulty.
-const SUSPECT_FAILURES: u32 = 2;
+/// Number of consecutive failed runs, of any jobs, after which a worker is presumed faulty.
+const FAULTY_AFTER_FAILURES: u32 = 2;
 
-/// How long a suspected worker gets no new work.
-const SUSPECT_MS: DurationMs = DurationMs(6_000);
+/// How long a worker that is presumed faulty gets no new work.
+const AVOID_FAULTY_MS: DurationMs = DurationMs(6_000);
 
 /// Pause before the next poll of a worker that reported no run ends.
 const POLL_PAUSE_MS: DurationMs = DurationMs(5);
@@ -40,8 +40,8 @@
 /// Minimum time for which an unresponsive worker may become reachable again before its runs are abandoned.
 ///
 /// After the lease has ended the runs no longer execute, but they may have completed before. A worker that
-/// was only unreachable reports these ends when it is back; if a booking had been restarted meanwhile, it
-/// would be made twice. Many network partitions last longer than a lease.
+/// was only unreachable reports these ends when it is back; if a task that makes a booking had been restarted
+/// meanwhile, the booking would be made twice. Many network partitions last longer than a lease.
 const RECONNECT_GRACE_MS: DurationMs = DurationMs(13_100);
 
 impl Coordinator {
@@ -93,8 +93,8 @@
             RunOutcome::Done => worker.consecutive_failures = 0,
             RunOutcome::Failed => {
                 worker.consecutive_failures += 1;
-                if worker.consecutive_failures >= SUSPECT_FAILURES {
-                    worker.avoid_until = now + SUSPECT_MS;
+                if worker.consecutive_failures >= FAULTY_AFTER_FAILURES {
+                    worker.avoid_until = now + AVOID_FAULTY_MS;
                 }
             }
             RunOutcome::NoVerdict | RunOutcome::Lost(_) => {}
@@ -162,7 +162,7 @@
         self.end_run(now, &worker, task, run, RunOutcome::Done);
     }
 
-    /// Handles a reply of another incarnation at a worker's address: the runs of the earlier one are gone.
+    /// Handles a reply from another incarnation at a worker's address: the runs of the earlier one are gone.
     pub(crate) fn on_incarnation_ended(&mut self, now: TimeMs, worker_name: &WorkerName) {
         if let Some(worker) = self.workers.get_mut(worker_name) {
             worker.is_listed = false;
--- a/ragwortwick-area/src/starts.rs
+++ b/ragwortwick-area/src/starts.rs
@@ -128,9 +128,9 @@
 
     /// Repeats a start order, which is idempotent; the reply shows whether the first one arrived.
     ///
-    /// The order must not be repeated to a worker that leaves or has shrunk: if the first one never
-    /// arrived, the second would start work there. A stop order resolves the uncertainty as well, and also
-    /// does so where the ticket has expired and the repeated start would be refused.
+    /// The order must not be repeated to a worker that is leaving or whose capacity has shrunk: if the first
+    /// one never arrived, the second would start work there. A stop order resolves the uncertainty as well,
+    /// also where the ticket has expired and the repeated start would be refused.
     fn resend_start(&mut self, now: TimeMs, worker: &WorkerName, task: &TaskId) {
         let must_not_start = self.workers.get(worker).is_some_and(|worker| {
             let is_leaving = worker.entry.is_draining || !worker.is_listed;
@@ -284,5 +284,5 @@
 
 /// How long a worker gets no new work after it refused a start for lack of capacity or health.
 ///
-/// A refusal contradicts the state known here; the next entry of the worker or the next poll may correct it.
+/// A refusal contradicts the coordinator's view of the worker, which its next entry or poll may correct.
 const AVOID_AFTER_REFUSAL_MS: DurationMs = DurationMs(1_000);
--- a/ragwortwick-area/src/worker.rs
+++ b/ragwortwick-area/src/worker.rs
@@ -15,7 +15,7 @@
 /// Margin on the computed end of a worker's lease, for timers and scheduling delays.
 const LEASE_MARGIN_MS: DurationMs = DurationMs(400);
 
-/// Pause between polls of a worker whose run ends can't be stored; it replies to each poll at once with them.
+/// Pause between polls of a worker whose run ends can't be stored; it replies to each at once, with them.
 ///
 /// During an outage of the store the other runs on the worker still need their lease renewed.
 const UNSTORED_ENDS_POLL_MS: DurationMs = DurationMs(1_000);
@@ -43,7 +43,7 @@
     pub(crate) allocations: BTreeMap<TaskId, Allocation>,
     /// Resources of all allocations.
     allocated: Resources,
-    /// Resources of untracked runs as of the last report.
+    /// Resources of untracked runs, which were reported without an allocation, as of the last report.
     pub(crate) untracked: Resources,
     /// The worker's clock as last reported, and when the report arrived.
     clock: Option<(u64, TimeMs)>,
@@ -140,7 +140,8 @@
         self.clock = Some((clock_ms, now));
     }
 
-    /// When the worker last reported its clock; until then, the last lease or when it became known.
+    /// When the worker last reported its clock; before the first report, when a lease was last sent to it or
+    /// when it became known.
     pub(crate) fn last_reply_at(&self) -> TimeMs {
         self.clock
             .map_or(self.lease_sent_at, |(_, reported_at)| reported_at)
@@ -157,13 +158,13 @@
             .get_or_insert(ContactLoss { since: now, kind });
     }
 
-    /// Lower bound of the worker's current clock, if the clock is known.
+    /// Estimate of the worker's current clock, if the clock is known; apart from drift, it is never ahead.
     pub(crate) fn clock_at(&self, now: TimeMs) -> Option<u64> {
         let (clock_ms, reported_at) = self.clock?;
         Some(clock_ms + now.since(reported_at).0)
     }
 
-    /// The end of a lease granted now, on the worker's clock; the estimate is never too late.
+    /// The end of a lease granted now, on the worker's clock; apart from drift, it is never too late.
     pub(crate) fn lease_until(&self, now: TimeMs, limits: &Limits) -> Option<u64> {
         Some(self.clock_at(now)? + limits.lease_ms.0)
     }
--- a/ragwortwick-area/tests/rig/mod.rs
+++ b/ragwortwick-area/tests/rig/mod.rs
@@ -226,7 +226,7 @@
         self.send(Event::JobAccepted(Arc::new(record)));
     }
 
-    /// Reports the progress of those of the runs that are on the worker.
+    /// Reports the given progress for those of the runs that are on the worker.
     pub fn report_progress(
         &mut self,
         worker: &str,
--- a/ragwortwick-area/tests/takeover.rs
+++ b/ragwortwick-area/tests/takeover.rs
@@ -16,7 +16,7 @@
 /// queue allows.
 #[test]
 fn verify_failing_run_of_a_gang_counts_across_a_takeover() {
-    // Enough workers that none is suspected because of the failures of this one job.
+    // Enough workers that none is presumed faulty because of the failures of this one job.
     let workers: Vec<_> = (0..8).map(|n| worker(&format!("w{n}"), "r1")).collect();
     let record = job("00000000000000aa", "middle", vec![gang(2, 8)]);
     let mut rig = Rig::new(&workers);
