--- a/ragwortwick-emulator/examples/experiment.rs
+++ b/ragwortwick-emulator/examples/experiment.rs
@@ -73,7 +73,7 @@
     let seeds = number("--seeds", 40)?;
     let faults = usize::try_from(number("--faults", 2)?)?;
     let workers = u32::try_from(number("--workers", 48)?)?;
-    let rack = u32::try_from(number("--rack", 8)?)?;
+    let workers_per_rack = u32::try_from(number("--rack", 8)?)?;
     let percent = u32::try_from(number("--scale", 100)?)?;
     let limits = Limits {
         lease_ms: DurationMs(number("--lease-ms", 6_000)?),
@@ -91,7 +91,7 @@
         let options = SimulationOptions {
             seed,
             workers,
-            rack,
+            workers_per_rack,
             workload: workload.clone(),
             limits: limits.clone(),
         };
--- a/ragwortwick-emulator/src/advisor.rs
+++ b/ragwortwick-emulator/src/advisor.rs
@@ -56,14 +56,14 @@
         task: &TaskId,
         ticket: Option<&str>,
     ) -> bool {
-        let record = &self.arrivals[self.by_job[&task.job_id]].record;
+        let record = &self.arrivals[self.arrival_by_job[&task.job_id]].record;
         if record.policy.advice.is_none() {
             return true;
         }
         let key = (self.workers[index].name.clone(), task.step_id());
-        let known = self.advisor.tickets.get(&key);
+        let issued = self.advisor.tickets.get(&key);
         let is_valid =
-            known.is_some_and(|(text, until)| ticket == Some(text.as_str()) && self.now < *until);
+            issued.is_some_and(|(text, until)| ticket == Some(text.as_str()) && self.now < *until);
         self.advisor.refused += u64::from(!is_valid);
         is_valid
     }
--- a/ragwortwick-emulator/src/coordination.rs
+++ b/ragwortwick-emulator/src/coordination.rs
@@ -138,15 +138,18 @@
         let Some(job) = self.store.jobs.get_mut(job_id) else {
             return;
         };
-        let before = job.progress.as_ref().map(|known| known.phase);
+        let previous_phase = job.progress.as_ref().map(|known| known.phase);
         job.progress = Some(progress.clone());
-        if before == Some(progress.phase) {
+        if previous_phase == Some(progress.phase) {
             return;
         }
         self.ground_truth
             .check_phase(self.now, job_id, progress.phase, is_all_done);
         if progress.phase == JobPhase::Failed {
-            let attempts = self.arrivals[self.by_job[job_id]].record.policy.attempts;
+            let attempts = self.arrivals[self.arrival_by_job[job_id]]
+                .record
+                .policy
+                .attempts;
             self.ground_truth
                 .check_failed_phase(self.now, job_id, attempts);
         }
@@ -156,7 +159,7 @@
     }
 
     pub(crate) fn is_all_done(&self, job_id: &JobId) -> bool {
-        let record = &self.arrivals[self.by_job[job_id]].record;
+        let record = &self.arrivals[self.arrival_by_job[job_id]].record;
         (0..record.occurrence_count()).all(|occurrence| {
             (0..).zip(&record.steps).all(|(step, spec)| {
                 let task = |index| TaskId {
--- a/ragwortwick-emulator/src/fault_injection.rs
+++ b/ragwortwick-emulator/src/fault_injection.rs
@@ -56,7 +56,7 @@
             FaultKind::StoreRepliesLost => self.store.loses_replies = is_on,
             FaultKind::WorkersCrash => self.set_power_loss(&every_eighth, is_on),
             FaultKind::RackPowerLoss => {
-                let first = index * self.options.rack as usize % self.workers.len();
+                let first = index * self.options.workers_per_rack as usize % self.workers.len();
                 let rack = &self.workers[first].rack;
                 let is_in_rack = |at: &usize| self.workers[*at].rack == *rack;
                 let in_rack: Vec<usize> = (0..self.workers.len()).filter(is_in_rack).collect();
@@ -97,7 +97,7 @@
     fn set_power_loss(&mut self, workers: &[usize], is_on: bool) {
         for &at in workers {
             if is_on {
-                self.workers[at].reachability = Reachability::Silent;
+                self.workers[at].reachability = Reachability::Unresponsive;
                 self.crash_worker(at, PollFailure::NoAnswer);
             } else {
                 self.workers[at].restore();
--- a/ragwortwick-emulator/src/invariants.rs
+++ b/ragwortwick-emulator/src/invariants.rs
@@ -35,7 +35,7 @@
     pub(crate) starts: u64,
     pub(crate) stopped: u64,
     pub(crate) expired: u64,
-    pub(crate) by_job: BTreeMap<JobId, RunCounts>,
+    pub(crate) counts_by_job: BTreeMap<JobId, RunCounts>,
 }
 
 /// `RunCounts` counts the runs of one job by how they ended.
@@ -60,7 +60,7 @@
     pub(crate) run: u32,
     pub(crate) is_late: bool,
     /// Workers that are up and run the same task.
-    pub(crate) others: Vec<WorkerName>,
+    pub(crate) other_workers: Vec<WorkerName>,
     pub(crate) is_over_capacity: bool,
     pub(crate) has_label: bool,
     pub(crate) draining_since: Option<TimeMs>,
@@ -81,12 +81,15 @@
 
     pub(crate) fn check_start(&mut self, start: &ObservedStart<'_>) {
         self.starts += 1;
-        let counts = self.by_job.entry(start.task.job_id.clone()).or_default();
+        let counts = self
+            .counts_by_job
+            .entry(start.task.job_id.clone())
+            .or_default();
         counts.first_start.get_or_insert(start.now);
         let (task, run, worker) = (start.task, start.run, start.worker);
         let mut violations: Vec<String> = Vec::new();
-        if !start.others.is_empty() {
-            violations.push(format!("runs twice, also on {:?}", start.others));
+        if !start.other_workers.is_empty() {
+            violations.push(format!("runs twice, also on {:?}", start.other_workers));
         }
         if self.acked_done.contains(task) {
             violations.push("started after its completion was acknowledged".to_owned());
@@ -177,7 +180,7 @@
                 .or_default()
                 .insert(run);
         }
-        let counts = self.by_job.entry(task.job_id.clone()).or_default();
+        let counts = self.counts_by_job.entry(task.job_id.clone()).or_default();
         match kind {
             EndKind::Stopped => counts.stopped += 1,
             EndKind::Failed => counts.failed += 1,
--- a/ragwortwick-emulator/src/orders.rs
+++ b/ragwortwick-emulator/src/orders.rs
@@ -142,12 +142,13 @@
         run: u32,
         payload: &str,
         checkpoint: &str,
-        until: u64,
+        lease_until_ms: u64,
         ticket: Option<&str>,
         is_late: bool,
     ) -> OrderReply {
         let lease_ms = self.options.limits.lease_ms;
-        let admitted = self.workers[index].admit_start(self.now, term, task, run, until, lease_ms);
+        let admitted =
+            self.workers[index].admit_start(self.now, term, task, run, lease_until_ms, lease_ms);
         match admitted {
             Ok(true) if !self.has_valid_ticket(index, task, ticket) => {
                 return OrderReply::Refused(RefusalCause::NoTicket);
@@ -161,7 +162,7 @@
             Err(cause) => return OrderReply::Refused(cause),
         }
         self.observe_start(index, task, run, payload, checkpoint, is_late);
-        let arrival = &self.arrivals[self.by_job[&task.job_id]];
+        let arrival = &self.arrivals[self.arrival_by_job[&task.job_id]];
         let spec = &arrival.record.steps[task.step as usize];
         let is_remote = spec
             .data_rack
@@ -176,7 +177,7 @@
         let work_ms = arrival.work_ms[task.step as usize];
         let mut active = ActiveRun {
             run,
-            need: spec.need,
+            demand: spec.need,
             started_at: self.now,
             work_ms,
             done_before_ms: if checkpoint_policy.is_restored {
@@ -208,7 +209,7 @@
 
     /// Schedules the crash of the worker if the task is a crashing one.
     fn schedule_crash(&mut self, index: usize, task: &TaskId) {
-        let crashing_task = self.arrivals[self.by_job[&task.job_id]].crashing_task;
+        let crashing_task = self.arrivals[self.arrival_by_job[&task.job_id]].crashing_task;
         let Some(crashing_task) = crashing_task
             .filter(|crashing_task| crashing_task.index == task.index && task.step == 0)
         else {
@@ -228,11 +229,11 @@
         checkpoint: &str,
         is_late: bool,
     ) {
-        let arrival = &self.arrivals[self.by_job[&task.job_id]];
+        let arrival = &self.arrivals[self.arrival_by_job[&task.job_id]];
         let record = &arrival.record;
         let spec = &record.steps[task.step as usize];
         let worker = &self.workers[index];
-        let others = self
+        let other_workers = self
             .workers
             .iter()
             .filter(|other| other.is_up() && other.running.contains_key(task))
@@ -283,7 +284,7 @@
             task,
             run,
             is_late,
-            others,
+            other_workers,
             is_over_capacity: !used_after.saturating_sub(capacity).is_zero(),
             has_label: spec
                 .required_label
--- a/ragwortwick-emulator/src/runs.rs
+++ b/ragwortwick-emulator/src/runs.rs
@@ -18,16 +18,16 @@
         let now = self.now;
         let gang = self.gangs.entry(key.clone()).or_default();
         if gang.members.is_empty() {
-            gang.first_at = now;
+            gang.first_start_at = now;
         }
         gang.members.insert(task.clone(), index);
         gang.will_fail |= will_fail;
-        let arrival = &self.arrivals[self.by_job[&task.job_id]];
+        let arrival = &self.arrivals[self.arrival_by_job[&task.job_id]];
         let spec = &arrival.record.steps[task.step as usize];
         if gang.members.len() != spec.count as usize {
             return;
         }
-        gang.is_begun = true;
+        gang.is_started = true;
         let members: Vec<(TaskId, usize)> = gang
             .members
             .iter()
@@ -65,7 +65,7 @@
         let incomplete: Vec<GangKey> = self
             .gangs
             .iter()
-            .filter(|(_, gang)| !gang.is_begun && self.now.since(gang.first_at) > wait_ms)
+            .filter(|(_, gang)| !gang.is_started && self.now.since(gang.first_start_at) > wait_ms)
             .map(|(key, _)| key.clone())
             .collect();
         for key in incomplete {
@@ -130,21 +130,21 @@
                 .get(&task.job_id)
                 .is_some_and(|job| job.cancelled_at.is_some());
             let cause = LostWorkCause::of(kind, is_cancelled);
-            let lost_core_ms = lost_ms * run.need.core_equivalents();
+            let lost_core_ms = lost_ms * run.demand.core_equivalents();
             *self.lost_core_ms.entry(cause).or_insert(0) += lost_core_ms;
         }
         let key = (task.job_id.clone(), task.occurrence, task.step, run.run);
         if kind != EndKind::GangIncomplete
             && let Some(gang) = self.gangs.remove(&key)
         {
-            let others = if kind == EndKind::Done {
+            let member_kind = if kind == EndKind::Done {
                 EndKind::Done
             } else {
                 EndKind::GangBroken
             };
             for (member, at) in gang.members {
                 if member != *task {
-                    self.end_if_current(at, &member, run.run, others);
+                    self.end_if_current(at, &member, run.run, member_kind);
                 }
             }
         }
@@ -152,14 +152,14 @@
     }
 
     pub(crate) fn reply_to_poll(&mut self, index: usize) {
-        if let Some(waiting) = self.workers[index].pending_poll.take() {
+        if let Some(pending) = self.workers[index].pending_poll.take() {
             let name = self.workers[index].name.clone();
             let event = Event::PollReplied {
                 worker: name.clone(),
-                sent_at: waiting.sent_at,
+                sent_at: pending.sent_at,
                 report: self.workers[index].report(self.now),
             };
-            self.reply(waiting.host, waiting.term, &name, event);
+            self.reply(pending.host, pending.term, &name, event);
         }
     }
 
@@ -169,12 +169,12 @@
         term: u64,
         index: usize,
         until: Option<u64>,
-        noted: u64,
+        acked_end: u64,
         wait_ms: DurationMs,
     ) {
         let lease_ms = self.options.limits.lease_ms;
         let name = self.workers[index].name.clone();
-        let acked = match self.workers[index].poll(self.now, term, until, noted, lease_ms) {
+        let acked = match self.workers[index].poll(self.now, term, until, acked_end, lease_ms) {
             Ok(acked) => acked,
             Err(cause) => {
                 let failure = match cause {
@@ -197,13 +197,13 @@
             self.ground_truth
                 .record_ack(&end.task, end.run, end.kind, is_gang);
         }
-        let waiting = PendingPoll {
+        let pending = PendingPoll {
             host,
             term,
             sent_at: self.now - DurationMs(3),
             until: self.now + wait_ms,
         };
-        self.workers[index].pending_poll = Some(waiting);
+        self.workers[index].pending_poll = Some(pending);
         let must_answer = wait_ms == DurationMs(0) || !self.workers[index].ended.is_empty();
         if must_answer {
             self.reply_to_poll(index);
@@ -218,7 +218,7 @@
             .leaves_at
             .is_some_and(|at| self.now >= at)
         {
-            self.workers[index].reachability = Reachability::Silent;
+            self.workers[index].reachability = Reachability::Unresponsive;
             self.crash_worker(index, PollFailure::NoAnswer);
             return;
         }
@@ -244,14 +244,14 @@
                 self.end_run(index, &task, kind);
             }
         }
-        let is_waiting = self.workers[index].pending_poll.as_ref();
-        if is_waiting.is_some_and(|look| self.now >= look.until) {
+        let pending = self.workers[index].pending_poll.as_ref();
+        if pending.is_some_and(|poll| self.now >= poll.until) {
             self.reply_to_poll(index);
         }
     }
 
     fn is_gang(&self, task: &TaskId) -> bool {
-        let arrival = &self.arrivals[self.by_job[&task.job_id]];
+        let arrival = &self.arrivals[self.arrival_by_job[&task.job_id]];
         arrival.record.steps[task.step as usize].is_gang
     }
 
@@ -275,14 +275,14 @@
             .iter()
             .map(|(task, run)| (task.clone(), run.run))
             .collect();
-        if let Some(waiting) = self.workers[index].pending_poll.take() {
+        if let Some(pending) = self.workers[index].pending_poll.take() {
             let event = Event::PollFailed {
                 worker: self.workers[index].name.clone(),
                 failure,
             };
             let deliver = SimEvent::DeliverEvent {
-                host: waiting.host,
-                term: waiting.term,
+                host: pending.host,
+                term: pending.term,
                 event,
             };
             let delay_ms = if failure == PollFailure::Closed {
--- a/ragwortwick-emulator/src/simulation.rs
+++ b/ragwortwick-emulator/src/simulation.rs
@@ -38,7 +38,7 @@
     /// Number of workers.
     pub workers: u32,
     /// Number of workers in a rack.
-    pub rack: u32,
+    pub workers_per_rack: u32,
     /// Workers' capacity and submitted jobs.
     pub workload: Workload,
     /// Limits that the coordinator's decisions depend on.
@@ -50,7 +50,7 @@
         Self {
             seed: 1,
             workers: 24,
-            rack: 8,
+            workers_per_rack: 8,
             workload: Workload::default(),
             limits: Limits::default(),
         }
@@ -117,13 +117,14 @@
     },
 }
 
+/// Job, occurrence, step and run of a gang.
 pub(crate) type GangKey = (JobId, u32, u32, u32);
 
 #[derive(Debug, Default)]
 pub(crate) struct Gang {
     pub(crate) members: BTreeMap<TaskId, usize>,
-    pub(crate) first_at: TimeMs,
-    pub(crate) is_begun: bool,
+    pub(crate) first_start_at: TimeMs,
+    pub(crate) is_started: bool,
     pub(crate) will_fail: bool,
 }
 
@@ -137,14 +138,14 @@
     pub(crate) events: BTreeMap<u64, SimEvent>,
     pub(crate) last_event_id: u64,
     pub(crate) arrivals: Vec<Arrival>,
-    pub(crate) by_job: BTreeMap<JobId, usize>,
+    pub(crate) arrival_by_job: BTreeMap<JobId, usize>,
     pub(crate) faults: Vec<Fault>,
     pub(crate) store: Store,
     pub(crate) workers: Vec<SimWorker>,
     pub(crate) hosts: Vec<Host>,
     pub(crate) gangs: BTreeMap<GangKey, Gang>,
     pub(crate) ground_truth: GroundTruth,
-    pub(crate) desired: Arc<DesiredState>,
+    pub(crate) desired_state: Arc<DesiredState>,
     pub(crate) advisor: Advisor,
     pub(crate) is_delaying_orders: bool,
     pub(crate) quiet_from: TimeMs,
@@ -159,7 +160,7 @@
     #[must_use]
     pub fn new(options: SimulationOptions, mut faults: Vec<Fault>) -> Self {
         faults.extend(&options.workload.faults);
-        let racks = options.workers.div_ceil(options.rack.max(1));
+        let racks = options.workers.div_ceil(options.workers_per_rack.max(1));
         let arrivals = Arrivals::draw(options.seed, &options.workload, racks).jobs;
         let checkpoint_policy = CheckpointPolicy {
             is_restored: options.workload.restores,
@@ -172,7 +173,7 @@
                 let speeds = &options.workload.speeds_percent;
                 SimWorker::new(
                     u64::from(number),
-                    number / options.rack.max(1),
+                    number / options.workers_per_rack.max(1),
                     label,
                     options.workload.capacity,
                     speeds[number as usize % speeds.len()],
@@ -180,7 +181,7 @@
                 )
             })
             .collect();
-        let by_job = arrivals
+        let arrival_by_job = arrivals
             .iter()
             .enumerate()
             .map(|(index, arrival)| (arrival.record.job_id.clone(), index))
@@ -198,13 +199,13 @@
             event_queue: BinaryHeap::new(),
             events: BTreeMap::new(),
             last_event_id: 0,
-            by_job,
+            arrival_by_job,
             store: Store::default(),
             workers,
             hosts: (0..3).map(|_| Host::default()).collect(),
             gangs: BTreeMap::new(),
             ground_truth: GroundTruth::default(),
-            desired: Arc::new(desired_state(&options.workload, accelerators)),
+            desired_state: Arc::new(desired_state(&options.workload, accelerators)),
             advisor: Advisor::default(),
             is_delaying_orders: false,
             quiet_from: last_fault.max(last_arrival),
@@ -262,7 +263,7 @@
                 break;
             }
         }
-        self.finish()
+        self.into_report()
     }
 
     fn is_settled(&self) -> bool {
@@ -274,7 +275,7 @@
             })
     }
 
-    fn finish(mut self) -> SimulationReport {
+    fn into_report(mut self) -> SimulationReport {
         let mut value = ValueReport::default();
         let records = self.arrivals.iter().map(|arrival| &*arrival.record);
         let model = ValueModel::new(&self.options.workload, records);
@@ -293,7 +294,7 @@
             if !self.is_infeasible(job_id) {
                 let counts = self
                     .ground_truth
-                    .by_job
+                    .counts_by_job
                     .get(job_id)
                     .copied()
                     .unwrap_or_default();
@@ -327,13 +328,13 @@
 
     /// Whether every run of the job fails or crashes its worker, so that it can't complete.
     fn is_infeasible(&self, job_id: &JobId) -> bool {
-        let arrival = &self.arrivals[self.by_job[job_id]];
+        let arrival = &self.arrivals[self.arrival_by_job[job_id]];
         arrival.failure_probability >= 1.0 || arrival.crashing_task.is_some()
     }
 
     /// Returns the latency objective by the true duration of the work.
     pub(crate) fn objective_ms(&self, job_id: &JobId) -> u64 {
-        let policy = &self.arrivals[self.by_job[job_id]].record.policy;
+        let policy = &self.arrivals[self.arrival_by_job[job_id]].record.policy;
         policy
             .objective_ms(DurationMs(self.critical_path_ms(job_id)))
             .0
@@ -341,7 +342,7 @@
 
     /// Returns the true duration of all steps, each of which waits for the previous one.
     fn critical_path_ms(&self, job_id: &JobId) -> u64 {
-        let arrival = &self.arrivals[self.by_job[job_id]];
+        let arrival = &self.arrivals[self.arrival_by_job[job_id]];
         arrival.work_ms.iter().map(|span| span.0).sum()
     }
 
--- a/ragwortwick-emulator/src/ticks.rs
+++ b/ragwortwick-emulator/src/ticks.rs
@@ -60,7 +60,7 @@
         let coordinator = Coordinator::take_over(
             self.clock(),
             self.options.limits.clone(),
-            Arc::clone(&self.desired),
+            Arc::clone(&self.desired_state),
             self.store.known_jobs(),
             entries,
         );
--- a/ragwortwick-emulator/src/worker.rs
+++ b/ragwortwick-emulator/src/worker.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct ActiveRun {
     pub(crate) run: u32,
-    pub(crate) need: Resources,
+    pub(crate) demand: Resources,
     pub(crate) started_at: TimeMs,
     /// Total work at normal speed, and the part of it done before the current span.
     pub(crate) work_ms: DurationMs,
@@ -145,7 +145,7 @@
     /// The process has exited, and its machine refuses connections.
     Refusing,
     /// Requests time out.
-    Silent,
+    Unresponsive,
 }
 
 /// `PendingPoll` is a long poll that waits for a run to end.
@@ -347,7 +347,7 @@
         now: TimeMs,
         fencing_token: u64,
         until: Option<u64>,
-        noted: u64,
+        acked_end: u64,
         lease_ms: DurationMs,
     ) -> Result<Vec<EndedTask>, RefusalCause> {
         if fencing_token < self.fencing_token {
@@ -359,7 +359,7 @@
         }
         let (acked, kept) = std::mem::take(&mut self.ended)
             .into_iter()
-            .partition(|end| end.sequence <= noted);
+            .partition(|end| end.sequence <= acked_end);
         self.ended = kept;
         Ok(acked)
     }
@@ -394,7 +394,7 @@
     pub(crate) fn used(&self) -> Resources {
         self.running
             .values()
-            .fold(Resources::default(), |sum, run| sum.plus(run.need))
+            .fold(Resources::default(), |sum, run| sum.plus(run.demand))
     }
 }
 
--- a/ragwortwick-emulator/tests/seeds.rs
+++ b/ragwortwick-emulator/tests/seeds.rs
@@ -22,7 +22,7 @@
     );
 }
 
-/// Every job that is not cancelled ends, and nothing is started needlessly.
+/// Every job that is not cancelled ends, and no run is started unnecessarily.
 #[test]
 fn verify_calm_runs_complete_everything() {
     for seed in 1..=4 {
