--- a/ragwortwick-emulator/src/coordination.rs
+++ b/ragwortwick-emulator/src/coordination.rs
@@ -77,7 +77,7 @@
                         SimEvent::DeliverEvent { host, term, event },
                     );
                 }
-                order => self.send_order(host, term, order),
+                request => self.send_to_worker(host, term, request),
             }
         }
         let now = self.clock();
--- a/ragwortwick-emulator/src/fault_injection.rs
+++ b/ragwortwick-emulator/src/fault_injection.rs
@@ -8,7 +8,7 @@
 use crate::worker::Reachability;
 
 impl Simulation {
-    pub(crate) fn set_fault(&mut self, index: usize, is_on: bool) {
+    pub(crate) fn set_fault(&mut self, index: usize, is_active: bool) {
         let fault = self.faults[index];
         let until = fault.at + fault.for_ms;
         let holder = self.store.coordinator.map(|(term, _)| term);
@@ -25,23 +25,25 @@
             .filter(|number| (number + index).is_multiple_of(8))
             .collect();
         match fault.kind {
-            FaultKind::CoordinatorKilled if is_on => {
+            FaultKind::CoordinatorKilled if is_active => {
                 self.hosts[leader] = Host {
                     down_until: Some(until),
                     ..Host::default()
                 };
             }
-            FaultKind::CoordinatorFrozen if is_on => {
+            FaultKind::CoordinatorFrozen if is_active => {
                 self.hosts[leader].frozen_until = Some(until);
             }
-            FaultKind::CoordinatorCutFromStore if is_on => {
+            FaultKind::CoordinatorCutFromStore if is_active => {
                 self.hosts[leader].is_partitioned_from_store = true;
             }
-            FaultKind::CoordinatorCutFromWorkers if is_on => {
-                let names = every_third.iter().map(|&at| self.workers[at].name.clone());
+            FaultKind::CoordinatorCutFromWorkers if is_active => {
+                let names = every_third
+                    .iter()
+                    .map(|&worker_index| self.workers[worker_index].name.clone());
                 self.hosts[leader].unreachable_workers = names.collect();
             }
-            FaultKind::RepliesDropped if is_on => self.hosts[leader].loses_replies = true,
+            FaultKind::RepliesDropped if is_active => self.hosts[leader].loses_replies = true,
             FaultKind::CoordinatorCutFromStore
             | FaultKind::CoordinatorCutFromWorkers
             | FaultKind::RepliesDropped => {
@@ -52,65 +54,65 @@
                 }
             }
             FaultKind::CoordinatorKilled | FaultKind::CoordinatorFrozen => {}
-            FaultKind::StoreUnavailable => self.store.is_unavailable = is_on,
-            FaultKind::StoreRepliesLost => self.store.loses_replies = is_on,
-            FaultKind::WorkersCrash => self.set_power_loss(&every_eighth, is_on),
+            FaultKind::StoreUnavailable => self.store.is_unavailable = is_active,
+            FaultKind::StoreRepliesLost => self.store.loses_replies = is_active,
+            FaultKind::WorkersCrash => self.set_power_loss(&every_eighth, is_active),
             FaultKind::RackPowerLoss => {
                 let first = index * self.options.workers_per_rack as usize % self.workers.len();
                 let rack = &self.workers[first].rack;
-                let is_in_rack = |at: &usize| self.workers[*at].rack == *rack;
+                let is_in_rack = |worker_index: &usize| self.workers[*worker_index].rack == *rack;
                 let in_rack: Vec<usize> = (0..self.workers.len()).filter(is_in_rack).collect();
-                self.set_power_loss(&in_rack, is_on);
+                self.set_power_loss(&in_rack, is_active);
             }
-            FaultKind::CapacityShrinks => self.set_shrunk(&every_third, is_on),
-            FaultKind::OrdersLate => self.is_delaying_orders = is_on,
+            FaultKind::CapacityShrinks => self.set_shrunk(&every_third, is_active),
+            FaultKind::OrdersLate => self.is_delaying_orders = is_active,
             FaultKind::WorkersLeave => {
-                for at in every_eighth {
-                    if is_on {
-                        self.workers[at].draining_since = Some(self.now);
-                        self.workers[at].leaves_at = Some(until);
+                for worker_index in every_eighth {
+                    if is_active {
+                        self.workers[worker_index].draining_since = Some(self.now);
+                        self.workers[worker_index].leaves_at = Some(until);
                     } else {
-                        self.workers[at].draining_since = None;
-                        self.workers[at].leaves_at = None;
-                        if self.workers[at].is_up() {
-                            self.crash_worker(at, PollFailure::NoAnswer);
+                        self.workers[worker_index].draining_since = None;
+                        self.workers[worker_index].leaves_at = None;
+                        if self.workers[worker_index].is_up() {
+                            self.crash_worker(worker_index, PollFailure::NoAnswer);
                         }
-                        self.workers[at].restore();
+                        self.workers[worker_index].restore();
                     }
                 }
             }
             FaultKind::WorkersSlow => {
-                for at in every_eighth {
-                    self.workers[at].fault_slowdown = if is_on { 5 } else { 1 };
+                for worker_index in every_eighth {
+                    self.workers[worker_index].fault_slowdown = if is_active { 5 } else { 1 };
                 }
             }
-            FaultKind::WorkersHang => self.set_hung(&every_eighth, is_on),
+            FaultKind::WorkersHang => self.set_hung(&every_eighth, is_active),
             FaultKind::WorkersFailing => {
-                for at in every_eighth {
-                    self.workers[at].is_failing = is_on;
+                for worker_index in every_eighth {
+                    self.workers[worker_index].is_failing = is_active;
                 }
             }
         }
     }
 
     /// Cuts or restores the power of workers.
-    fn set_power_loss(&mut self, workers: &[usize], is_on: bool) {
-        for &at in workers {
-            if is_on {
-                self.workers[at].reachability = Reachability::Unresponsive;
-                self.crash_worker(at, PollFailure::NoAnswer);
+    fn set_power_loss(&mut self, workers: &[usize], is_active: bool) {
+        for &worker_index in workers {
+            if is_active {
+                self.workers[worker_index].reachability = Reachability::Unresponsive;
+                self.crash_worker(worker_index, PollFailure::NoAnswer);
             } else {
-                self.workers[at].restore();
+                self.workers[worker_index].restore();
             }
         }
     }
 
     /// Halves or restores the capacity of workers.
-    fn set_shrunk(&mut self, workers: &[usize], is_on: bool) {
+    fn set_shrunk(&mut self, workers: &[usize], is_active: bool) {
         let full = self.options.workload.capacity;
-        for &at in workers {
-            self.workers[at].capacity = if is_on { halved(full) } else { full };
-            self.workers[at].shrunk_at = is_on.then_some(self.now);
+        for &worker_index in workers {
+            self.workers[worker_index].capacity = if is_active { halved(full) } else { full };
+            self.workers[worker_index].shrunk_at = is_active.then_some(self.now);
         }
     }
 }
--- a/ragwortwick-emulator/src/network.rs
+++ b/ragwortwick-emulator/src/network.rs
@@ -7,7 +7,7 @@
 use crate::simulation::{SimEvent, Simulation};
 
 impl Simulation {
-    pub(crate) fn send_order(&mut self, host: usize, term: u64, action: Action) {
+    pub(crate) fn send_to_worker(&mut self, host: usize, term: u64, action: Action) {
         let is_order = !matches!(action, Action::Poll { .. });
         let is_late = self.is_delaying_orders && is_order && self.rng.random_bool(0.15);
         let worker = match &action {
@@ -28,7 +28,7 @@
         } else {
             self.rng.random_range(1..4)
         };
-        let deliver = SimEvent::DeliverOrder {
+        let deliver = SimEvent::DeliverToWorker {
             host,
             term,
             action,
--- a/ragwortwick-emulator/src/orders.rs
+++ b/ragwortwick-emulator/src/orders.rs
@@ -12,7 +12,7 @@
 const SHRINK_GRACE_MS: DurationMs = DurationMs(4_500);
 
 impl Simulation {
-    pub(crate) fn deliver_order(
+    pub(crate) fn deliver_to_worker(
         &mut self,
         host: usize,
         term: u64,
--- a/ragwortwick-emulator/src/runs.rs
+++ b/ragwortwick-emulator/src/runs.rs
@@ -31,26 +31,26 @@
         let members: Vec<(TaskId, usize)> = gang
             .members
             .iter()
-            .map(|(id, &at)| (id.clone(), at))
+            .map(|(id, &worker_index)| (id.clone(), worker_index))
             .collect();
         let will_fail = gang.will_fail;
         let racks: BTreeSet<&str> = members
             .iter()
-            .map(|(_, at)| self.workers[*at].rack.as_str())
+            .map(|(_, worker_index)| self.workers[*worker_index].rack.as_str())
             .collect();
         let remote_penalty = if spec.wants_same_rack && racks.len() > 1 {
             3.0
         } else {
             1.0
         };
-        for (position, (id, at)) in members.iter().enumerate() {
-            let worker = &self.workers[*at];
+        for (position, (id, worker_index)) in members.iter().enumerate() {
+            let worker = &self.workers[*worker_index];
             let (slowdown, is_hung, checkpoint_policy) = (
                 worker.slowdown() * remote_penalty,
                 worker.is_hung,
                 worker.checkpoint_policy,
             );
-            if let Some(active) = self.workers[*at].running.get_mut(id) {
+            if let Some(active) = self.workers[*worker_index].running.get_mut(id) {
                 active.start_work(now, slowdown, checkpoint_policy.restore_ms);
                 if is_hung {
                     active.pause(now);
@@ -88,16 +88,16 @@
     }
 
     /// Pauses or resumes all runs on the given workers.
-    pub(crate) fn set_hung(&mut self, hung: &[usize], is_on: bool) {
+    pub(crate) fn set_hung(&mut self, hung: &[usize], is_active: bool) {
         for &index in hung {
-            self.workers[index].is_hung = is_on;
+            self.workers[index].is_hung = is_active;
         }
         let now = self.now;
         for &index in hung {
             for run in self.workers[index].running.values_mut() {
-                if is_on && run.span.is_some() {
+                if is_active && run.span.is_some() {
                     run.pause(now);
-                } else if !is_on {
+                } else if !is_active {
                     run.resume(now);
                 }
             }
@@ -109,8 +109,8 @@
         let Some(gang) = self.gangs.get(key) else {
             return true;
         };
-        gang.members.iter().all(|(task, &at)| {
-            let run = self.workers[at].running.get(task);
+        gang.members.iter().all(|(task, &worker_index)| {
+            let run = self.workers[worker_index].running.get(task);
             run.is_some_and(|run| run.is_done(self.now))
         })
     }
@@ -142,9 +142,9 @@
             } else {
                 EndKind::GangBroken
             };
-            for (member, at) in gang.members {
+            for (member, worker_index) in gang.members {
                 if member != *task {
-                    self.end_if_current(at, &member, run.run, member_kind);
+                    self.end_if_current(worker_index, &member, run.run, member_kind);
                 }
             }
         }
@@ -204,8 +204,8 @@
             until: self.now + wait_ms,
         };
         self.workers[index].pending_poll = Some(pending);
-        let must_answer = wait_ms == DurationMs(0) || !self.workers[index].ended.is_empty();
-        if must_answer {
+        let must_reply = wait_ms == DurationMs(0) || !self.workers[index].ended.is_empty();
+        if must_reply {
             self.reply_to_poll(index);
         }
     }
@@ -296,9 +296,9 @@
         for (task, run) in runs {
             let key = (task.job_id.clone(), task.occurrence, task.step, run);
             if let Some(gang) = self.gangs.remove(&key) {
-                for (member, at) in gang.members {
-                    if at != index {
-                        self.end_if_current(at, &member, run, EndKind::GangBroken);
+                for (member, worker_index) in gang.members {
+                    if worker_index != index {
+                        self.end_if_current(worker_index, &member, run, EndKind::GangBroken);
                     }
                 }
             }
--- a/ragwortwick-emulator/src/simulation.rs
+++ b/ragwortwick-emulator/src/simulation.rs
@@ -94,8 +94,8 @@
     CrashWorker(usize, WorkerName, TaskId),
     /// A crashed worker is up again.
     RestoreWorker(usize),
-    /// An order reaches a worker.
-    DeliverOrder {
+    /// An order or a poll reaches a worker.
+    DeliverToWorker {
         host: usize,
         term: u64,
         action: Action,
@@ -362,13 +362,13 @@
             }
             SimEvent::CrashWorker(index, name, task) => self.crash_by_task(index, &name, &task),
             SimEvent::RestoreWorker(index) => self.workers[index].restore(),
-            SimEvent::DeliverOrder {
+            SimEvent::DeliverToWorker {
                 host,
                 term,
                 action,
                 is_late,
                 wants_reply,
-            } => self.deliver_order(host, term, action, is_late, wants_reply),
+            } => self.deliver_to_worker(host, term, action, is_late, wants_reply),
             SimEvent::DeliverEvent { host, term, event } => self.deliver_event(host, term, event),
             SimEvent::CommitBatch {
                 host,
