--- a/ragwortwick-area/src/run_ends.rs
+++ b/ragwortwick-area/src/run_ends.rs
@@ -72,7 +72,7 @@
             RunOutcome::Failed => RunEndReason::Failed,
             RunOutcome::NoVerdict | RunOutcome::Lost(_) => match (allocation.phase, outcome) {
                 (AllocationPhase::Stopping { reason, .. }, _) => reason,
-                (_, RunOutcome::Lost(loss)) => loss.into(),
+                (_, RunOutcome::Lost(cause)) => cause.into(),
                 _ => RunEndReason::NotThere,
             },
         };
--- a/ragwortwick-area/src/stops.rs
+++ b/ragwortwick-area/src/stops.rs
@@ -11,7 +11,7 @@
 use crate::messages::{Action, OrderReply, RefusalCause};
 use crate::outcome::RunOutcome;
 
-/// Delay of the poll after a confirmed stop, which determines whether the run has gone.
+/// Delay of the poll after a stop order, which determines whether the run has ended.
 const POLL_AFTER_STOP_MS: DurationMs = DurationMs(150);
 
 impl Coordinator {
@@ -72,7 +72,7 @@
         else {
             return;
         };
-        // A worker that refuses the stop as stale no longer has the run.
+        // A refusal counts as confirmed: a worker that refuses the stop as stale no longer has the run.
         let is_confirmed = !matches!(reply, OrderReply::Unknown);
         *in_flight = false;
         *confirmed_at = is_confirmed.then_some(now);
--- a/ragwortwick-area/tests/reach.rs
+++ b/ragwortwick-area/tests/reach.rs
@@ -35,9 +35,10 @@
     assert_eq!(rig.starts().len(), 1, "the job starts again");
 }
 
-/// A booking is made on an unreachable worker whose lease ends, and whose entry may be removed as well. The
-/// coordinator must wait for the worker to return before it starts the task elsewhere, or the booking would
-/// be made twice. If the worker stays unresponsive, the task starts elsewhere in the end.
+/// A task that makes a booking runs on an unreachable worker whose lease ends, and whose entry may be removed
+/// as well. The coordinator must wait a grace period for a reply of the worker before it starts the task
+/// elsewhere, or the booking would be made twice. If the worker stays unresponsive, the task then starts
+/// elsewhere.
 #[test]
 fn verify_silent_worker_is_heard_before_its_work_starts_again() {
     let workers = [worker("w1", "r1"), worker("w2", "r1")];
--- a/ragwortwick-area/tests/takeover.rs
+++ b/ragwortwick-area/tests/takeover.rs
@@ -165,8 +165,8 @@
 }
 
 /// A start order gets no reply and is refused when it is repeated. The first one may still arrive late, so
-/// a stop order must rule it out before the task starts elsewhere; otherwise the booking would be made
-/// twice.
+/// a stop order must rule it out before the task starts elsewhere; otherwise a task that makes a booking
+/// would make it twice.
 #[test]
 fn verify_refused_repeat_of_a_doubtful_start_is_stopped_first() {
     let workers = [worker("w1", "r1"), worker("w2", "r2")];
--- a/ragwortwick-standin/src/area/worker_routes.rs
+++ b/ragwortwick-standin/src/area/worker_routes.rs
@@ -64,7 +64,7 @@
     }
 }
 
-/// Checks the fencing token and extends the lease; returns whether the token is outdated.
+/// Checks the fencing token and extends the lease unless the token is outdated; returns whether it is.
 fn is_fenced(pool: &mut PoolState, name: &str, body: &Value) -> bool {
     let token = body["FencingToken"].as_u64().unwrap_or(0);
     let Some(worker) = pool.workers.get_mut(name) else {
