--- a/ragwortwick-core/src/chart.rs
+++ b/ragwortwick-core/src/chart.rs
@@ -1,4 +1,4 @@
-//! State charts, read from JSON files and interpreted at run time.
+//! State charts that are parsed from JSON files and interpreted at run time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -7,38 +7,38 @@
 
 use crate::{Error, Result};
 
-/// `ChartSymbol` is a closed set of names that a chart file may use.
+/// `ChartSymbol` is the set of states, events, guards or actions that a chart file may name.
 pub trait ChartSymbol: Copy + Eq + Ord + fmt::Debug + 'static {
-    /// Every member of the set with its name in the file.
+    /// All members of the set, each with its name in the file.
     const ALL: &'static [(&'static str, Self)];
 
-    /// `from_name` finds the member with this name.
+    /// `from_name` returns the member with the given name.
     fn from_name(name: &str) -> Option<Self> {
         Self::ALL
             .iter()
             .find(|(known, _)| *known == name)
-            .map(|(_, word)| *word)
+            .map(|(_, symbol)| *symbol)
     }
 
-    /// `name` gives the member's name in the file.
+    /// `name` returns the name of the member in the file.
     fn name(self) -> &'static str {
         Self::ALL
             .iter()
-            .find(|(_, word)| *word == self)
+            .find(|(_, symbol)| *symbol == self)
             .map_or("?", |(name, _)| name)
     }
 }
 
-/// `Transition` is what a chart does on one event.
+/// `Transition` is the next state and the actions that a chart gives for one event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Transition<'a, S, A> {
-    /// The state after the event.
+    /// State after the event.
     pub next: S,
-    /// The actions to take, in order.
+    /// Actions to take, in order.
     pub actions: &'a [A],
 }
 
-/// `StateChart` is a checked state chart over states `S`, events `E`, guards `G` and actions `A`.
+/// `StateChart` is a validated state chart over states `S`, events `E`, guards `G` and actions `A`.
 #[derive(Clone, Debug)]
 pub struct StateChart<S, E, G, A> {
     initial: S,
@@ -80,35 +80,35 @@
 }
 
 impl<S: ChartSymbol, E: ChartSymbol, G: ChartSymbol, A: ChartSymbol> StateChart<S, E, G, A> {
-    /// `parse` reads and checks a chart file.
+    /// `parse` parses and validates a chart file.
     ///
     /// # Errors
     ///
-    /// Fails on malformed JSON, unknown names, unreachable states, and states without a way out
-    /// that are not final.
+    /// Fails on malformed JSON, unknown names, unreachable states, and states that are not final and have
+    /// no outgoing transition.
     pub fn parse(text: &str) -> Result<Self> {
         let file: ChartFile =
             serde_json::from_str(text).map_err(|e| Error::chart("?", e.to_string()))?;
-        let initial = word::<S>(&file.name, "state", &file.initial)?;
+        let initial = symbol::<S>(&file.name, "state", &file.initial)?;
         let finals = file
             .finals
             .iter()
-            .map(|name| word::<S>(&file.name, "state", name))
+            .map(|name| symbol::<S>(&file.name, "state", name))
             .collect::<Result<BTreeSet<S>>>()?;
         let mut rows = Rows::new();
         for row in &file.transitions {
-            let from = word::<S>(&file.name, "state", &row.from)?;
-            let on = word::<E>(&file.name, "event", &row.on)?;
+            let from = symbol::<S>(&file.name, "state", &row.from)?;
+            let on = symbol::<E>(&file.name, "event", &row.on)?;
             let guard = row
                 .guard
                 .as_ref()
-                .map(|g| word::<G>(&file.name, "guard", g))
+                .map(|g| symbol::<G>(&file.name, "guard", g))
                 .transpose()?;
-            let next = word::<S>(&file.name, "state", &row.to)?;
+            let next = symbol::<S>(&file.name, "state", &row.to)?;
             let actions = row
                 .actions
                 .iter()
-                .map(|a| word::<A>(&file.name, "action", a))
+                .map(|a| symbol::<A>(&file.name, "action", a))
                 .collect::<Result<Vec<A>>>()?;
             rows.entry((from, on)).or_default().push(Row {
                 guard,
@@ -121,23 +121,24 @@
             finals,
             rows,
         };
-        chart.check(&file.name)?;
+        chart.validate(&file.name)?;
         Ok(chart)
     }
 
-    /// `initial` gives the state that a new instance starts in.
+    /// `initial` returns the state in which a new instance starts.
     #[must_use]
     pub fn initial(&self) -> S {
         self.initial
     }
 
-    /// `is_final` tells whether the state is an end.
+    /// `is_final` reports whether the state is final.
     #[must_use]
     pub fn is_final(&self, state: S) -> bool {
         self.finals.contains(&state)
     }
 
-    /// `transition` finds the first row for the event whose guard holds, or `None` if the event is ignored.
+    /// `transition` returns the first transition for the event whose guard holds, or `None` if the event is
+    /// ignored.
     pub fn transition(
         &self,
         state: S,
@@ -152,7 +153,7 @@
         })
     }
 
-    fn check(&self, name: &str) -> Result<()> {
+    fn validate(&self, name: &str) -> Result<()> {
         let mut reached = BTreeSet::from([self.initial]);
         loop {
             let before = reached.len();
@@ -172,11 +173,11 @@
                     format!("state {state_name} is unreachable"),
                 ));
             }
-            let has_way_out = self.rows.keys().any(|(from, _)| from == state);
-            if !has_way_out && !self.finals.contains(state) {
+            let has_outgoing = self.rows.keys().any(|(from, _)| from == state);
+            if !has_outgoing && !self.finals.contains(state) {
                 return Err(Error::chart(
                     name,
-                    format!("state {state_name} has no way out"),
+                    format!("state {state_name} has no outgoing transition"),
                 ));
             }
         }
@@ -184,6 +185,6 @@
     }
 }
 
-fn word<W: ChartSymbol>(chart: &str, kind: &str, name: &str) -> Result<W> {
-    W::from_name(name).ok_or_else(|| Error::chart(chart, format!("unknown {kind} {name}")))
+fn symbol<T: ChartSymbol>(chart: &str, kind: &str, name: &str) -> Result<T> {
+    T::from_name(name).ok_or_else(|| Error::chart(chart, format!("unknown {kind} {name}")))
 }
--- a/ragwortwick-core/src/error.rs
+++ b/ragwortwick-core/src/error.rs
@@ -1,25 +1,25 @@
-//! The error enum of the shared packages, with its `Result` alias and short constructors.
+//! Error type of the shared packages, with its `Result` alias and constructors.
 
 use displaydoc::Display;
 
 /// `Result` is the result type of the shared packages.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// `Error` is an expected failure of a shared package.
+/// `Error` is an expected failure in a shared package.
 #[derive(Debug, Display)]
 pub enum Error {
     /// {field}: {expected}
     Invalid {
-        /// Path of the field at fault, such as `customers[2].weight`.
+        /// Path of the invalid field, such as `customers[2].weight`.
         field: String,
-        /// What was expected there.
+        /// Expected value.
         expected: String,
     },
     /// state chart {chart}: {problem}
     Chart {
         /// Name of the chart.
         chart: String,
-        /// What is wrong with it.
+        /// Problem found in the chart.
         problem: String,
     },
 }
@@ -27,7 +27,7 @@
 impl std::error::Error for Error {}
 
 impl Error {
-    /// `invalid` names a field and what was expected there.
+    /// `invalid` builds an error from the path of a field and the value expected there.
     pub fn invalid(field: impl Into<String>, expected: impl Into<String>) -> Self {
         Self::Invalid {
             field: field.into(),
@@ -35,7 +35,7 @@
         }
     }
 
-    /// `chart` names a state chart and what is wrong with it.
+    /// `chart` builds an error from the name of a state chart and the problem found in it.
     pub fn chart(chart: impl Into<String>, problem: impl Into<String>) -> Self {
         Self::Chart {
             chart: chart.into(),
--- a/ragwortwick-core/src/ids.rs
+++ b/ragwortwick-core/src/ids.rs
@@ -1,4 +1,4 @@
-//! Names and ids as cheap, shared, immutable strings.
+//! Names and ids as shared immutable strings that are cheap to clone.
 
 use std::fmt;
 use std::sync::Arc;
@@ -13,12 +13,12 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// `new` makes the name from any text; clones share the text.
+            /// `new` creates the name from any text; clones share the text.
             pub fn new(text: impl AsRef<str>) -> Self {
                 Self(Arc::from(text.as_ref()))
             }
 
-            /// `as_str` lends the text.
+            /// `as_str` returns the text.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
@@ -80,30 +80,30 @@
     PoolName
 }
 name_type! {
-    /// `LabelName` names a property of a worker that a step may ask for.
+    /// `LabelName` names a property of a worker that a step may require.
     LabelName
 }
 name_type! {
-    /// `JobId` identifies an accepted job for ever.
+    /// `JobId` identifies an accepted job; it is never reused.
     JobId
 }
 name_type! {
-    /// `GangId` identifies one attempt of a job; it reads `<job>.<attempt>`.
+    /// `GangId` identifies one attempt of a job, in the form `<job>.<attempt>`.
     GangId
 }
 name_type! {
-    /// `RequestId` identifies a short request; a repeat carries the same id.
+    /// `RequestId` identifies a short request; a retry carries the same id.
     RequestId
 }
 
 impl GangId {
-    /// `of_attempt` names the gang that runs the given attempt of a job.
+    /// `of_attempt` creates the id of the gang that runs the given attempt of a job.
     #[must_use]
     pub fn of_attempt(job: &JobId, attempt: u32) -> Self {
         Self::new(format!("{job}.{attempt}"))
     }
 
-    /// `job` and attempt number, if the id has the form that `of_attempt` gives.
+    /// `job_and_attempt` returns the job and the attempt number if the id has the form of `of_attempt`.
     #[must_use]
     pub fn job_and_attempt(&self) -> Option<(JobId, u32)> {
         let (job, attempt) = self.as_str().rsplit_once('.')?;
--- a/ragwortwick-core/src/lib.rs
+++ b/ragwortwick-core/src/lib.rs
@@ -1,4 +1,4 @@
-//! Core types shared by every package: ids, units, verdicts, errors, log lines and state charts.
+//! Core types shared by all packages: ids, units, verdicts, errors, log lines and state charts.
 
 mod chart;
 mod error;
--- a/ragwortwick-core/src/log_line.rs
+++ b/ragwortwick-core/src/log_line.rs
@@ -1,15 +1,15 @@
-//! Log events as one line of key=value pairs.
+//! Log events, each written as one line of key=value pairs.
 
 use std::fmt;
 
-/// `LogValue` writes a value so that one pair stays one word, quoting it where it has blanks.
+/// `LogValue` formats a value so that a pair stays one word; a value with white space is quoted.
 #[derive(Debug)]
 pub struct LogValue<T>(pub T);
 
 impl<T: fmt::Display> fmt::Display for LogValue<T> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let text = self.0.to_string();
-        // A newline or blank inside a value would break the one-line, one-pair promise to log readers.
+        // A newline or a space in a value would break the format, one line per event and one word per pair.
         if text.is_empty() || text.contains(|c: char| c.is_whitespace() || c == '"' || c == '=') {
             write!(f, "{text:?}")
         } else {
--- a/ragwortwick-core/src/units.rs
+++ b/ragwortwick-core/src/units.rs
@@ -1,4 +1,4 @@
-//! Newtypes for instants, spans, epochs and revisions.
+//! Newtypes for instants, durations, epochs and revisions.
 
 use std::fmt;
 use std::ops::{Add, Sub};
@@ -7,34 +7,35 @@
 
 use crate::common;
 
-/// `TimeMs` is an instant in milliseconds on the clock that the caller of a function chose.
+/// `TimeMs` is an instant in milliseconds on the clock that the caller of a function chooses.
 ///
-/// Deciding functions get the monotonic clock of the process; records that outlive it get Unix time.
+/// Functions that make decisions get the monotonic clock of the process. Records that outlive the process
+/// hold Unix time.
 #[common(key)]
 #[derive(Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct TimeMs(pub u64);
 
-/// `DurationMs` is a span in milliseconds.
+/// `DurationMs` is a duration in milliseconds.
 #[common(key)]
 #[derive(Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct DurationMs(pub u64);
 
-/// `Epoch` numbers the ownerships of a zone; workers refuse any epoch below the highest seen.
+/// `Epoch` numbers the ownerships of a zone; workers reject any epoch below the highest one seen.
 #[common(key)]
 #[derive(Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Epoch(pub u64);
 
-/// `Revision` numbers the versions of a store value; zero stands for an absent value.
+/// `Revision` numbers the versions of a value in the store; zero stands for an absent value.
 #[common(key)]
 #[derive(Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Revision(pub u64);
 
 impl TimeMs {
-    /// `since` gives the span from `earlier` to here, zero if `earlier` is later.
+    /// `since` returns the duration since `earlier`, or zero if `earlier` is later.
     #[must_use]
     pub fn since(self, earlier: Self) -> DurationMs {
         DurationMs(self.0.saturating_sub(earlier.0))
@@ -66,13 +67,13 @@
 }
 
 impl DurationMs {
-    /// `as_secs_f64` gives the span in seconds.
+    /// `as_secs_f64` converts the duration to seconds.
     #[must_use]
     pub fn as_secs_f64(self) -> f64 {
         std::time::Duration::from(self).as_secs_f64()
     }
 
-    /// `scaled` multiplies the span; a negative factor gives zero.
+    /// `scaled` multiplies the duration; a negative factor gives zero.
     #[must_use]
     #[expect(
         clippy::cast_possible_truncation,
@@ -86,8 +87,8 @@
 }
 
 impl From<DurationMs> for std::time::Duration {
-    fn from(span: DurationMs) -> Self {
-        Self::from_millis(span.0)
+    fn from(duration: DurationMs) -> Self {
+        Self::from_millis(duration.0)
     }
 }
 
--- a/ragwortwick-core/src/verdict.rs
+++ b/ragwortwick-core/src/verdict.rs
@@ -1,31 +1,31 @@
-//! The verdict on a request: whether it ran, did not run, or may have run.
+//! Verdict on a request: it ran, it did not run, or it may have run.
 
 use displaydoc::Display;
 
 use crate::{DurationMs, common};
 
-/// `Verdict` says whether a request may have run.
+/// `Verdict` is the outcome of a request with regard to whether it may have run.
 ///
-/// Only `NotRun` permits a repeat of work that is marked as not to be repeated.
+/// Work that is marked as not repeatable may be retried only after `NotRun`.
 #[common]
 pub enum Verdict<T> {
-    /// The request ran and this is its whole answer.
+    /// The request ran, and this is its complete response.
     Done(T),
-    /// No byte of the request reached a runner, or the runner said that it did not start.
+    /// No byte of the request reached a runner, or the runner reported that it did not start it.
     NotRun {
         /// Why it was not run.
         reason: NotRunReason,
-        /// When the caller may come back.
+        /// Time after which the caller may retry.
         retry_after_ms: DurationMs,
     },
     /// The request was sent and its outcome is unknown.
     MayHaveRun {
-        /// What was seen, as one sentence for the caller.
+        /// What was observed, as one sentence for the caller.
         reason: String,
     },
 }
 
-/// `NotRunReason` is the cause of a refusal before anything ran.
+/// `NotRunReason` is why a request was rejected before it ran.
 #[common]
 #[derive(Copy, Display, PartialOrd, Ord, Hash)]
 pub enum NotRunReason {
@@ -50,13 +50,13 @@
 }
 
 impl<T> Verdict<T> {
-    /// `is_retriable` tells whether another try is safe for the given repeatable mark.
+    /// `is_retriable` reports whether a retry is safe for work that is, or is not, repeatable.
     #[must_use]
-    pub fn is_retriable(&self, repeatable: bool) -> bool {
+    pub fn is_retriable(&self, is_repeatable: bool) -> bool {
         match self {
             Self::Done(_) => false,
             Self::NotRun { .. } => true,
-            Self::MayHaveRun { .. } => repeatable,
+            Self::MayHaveRun { .. } => is_repeatable,
         }
     }
 }
--- a/ragwortwick-core/tests/chart.rs
+++ b/ragwortwick-core/tests/chart.rs
@@ -1,4 +1,4 @@
-//! Checks that the chart loader refuses faulty files and that steps follow the rows.
+//! Parsing of state charts rejects invalid files, and transitions follow the rows of the file.
 
 use ragwortwick_core::{ChartSymbol, StateChart, common};
 
@@ -51,11 +51,11 @@
 #[test]
 fn verify_step_follows_guarded_row() {
     let chart = TestChart::parse(&chart_text(&format!("{START},{STOP}"), "")).expect("valid chart");
-    let step = chart
+    let transition = chart
         .transition(State::Idle, Event::Start, |_| true)
         .expect("row applies");
     assert_eq!(
-        (step.next, step.actions),
+        (transition.next, transition.actions),
         (State::Busy, &[Action::Ring][..])
     );
     assert!(
@@ -75,13 +75,14 @@
     let unknown = chart_text(r#"{"from":"idle","on":"start","to":"gone"}"#, "");
     let unreachable = chart_text(r#"{"from":"idle","on":"start","to":"idle"}"#, "");
     let dead_end = chart_text(START, "");
-    let refused = |text: &str| {
+    let rejection = |text: &str| {
         TestChart::parse(text)
-            .expect_err("must be refused")
+            .expect_err("must be rejected")
             .to_string()
     };
-    assert!(refused(&unknown).contains("unknown state gone"));
-    assert!(refused(&unreachable).contains("state busy is unreachable"));
-    assert!(refused(&dead_end).contains("state busy has no way out"));
-    TestChart::parse(&chart_text(START, "\"busy\"")).expect("a final state needs no way out");
+    assert!(rejection(&unknown).contains("unknown state gone"));
+    assert!(rejection(&unreachable).contains("state busy is unreachable"));
+    assert!(rejection(&dead_end).contains("state busy has no outgoing transition"));
+    TestChart::parse(&chart_text(START, "\"busy\""))
+        .expect("a final state needs no outgoing transition");
 }
