--- a/ragwortwick-daemon/src/app.rs
+++ b/ragwortwick-daemon/src/app.rs
@@ -1,4 +1,4 @@
-//! What the HTTP handlers and the peer server can reach.
+//! State shared by the HTTP handlers and the peer server.
 
 use std::panic::RefUnwindSafe;
 use std::sync::Arc;
@@ -10,29 +10,29 @@
     ZoneHandle,
 };
 
-/// `App` joins the handles of all duties; clones are cheap.
+/// `App` holds the handles of all components; clones are cheap.
 #[derive(Clone, Debug, StateData)]
 pub struct App {
-    /// The process's settings.
+    /// Settings of the process.
     pub settings: Arc<Settings>,
-    /// The process's clock.
+    /// Clock of the process.
     pub clock: Clock,
-    /// The process's metrics.
+    /// Metrics of the process.
     pub metrics: Metrics,
-    /// Latest facts.
+    /// Latest state of table, hosts, store, zone and process.
     pub watches: StateWatches,
-    /// Calls to other entry hosts.
+    /// Client for calls to other entry hosts.
     pub peers: PeerClient,
-    /// Short requests.
+    /// Handle to the short requests.
     pub requests: RequestsHandle,
-    /// Accepted jobs.
+    /// Handle to the accepted jobs.
     pub jobs: JobsHandle,
-    /// The operators' table.
+    /// Handle to the operators' table.
     pub config: ConfigHandle,
-    /// The zone that this host may own.
+    /// Handle to the zone that this host may own.
     pub zone: ZoneHandle,
 }
 
-// gotham asks for this mark since it catches panics; ours end the process, so nothing is seen
-// half-changed.
+// gotham requires this trait because it catches panics. A panic here aborts the process, so no
+// inconsistent state can be observed.
 impl RefUnwindSafe for App {}
--- a/ragwortwick-daemon/src/clock.rs
+++ b/ragwortwick-daemon/src/clock.rs
@@ -1,11 +1,11 @@
-//! The one clock of the process: Unix time at start, advanced by the clock since boot.
+//! Clock of the process: Unix time at start, advanced by the time since boot.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use ragwortwick_core::{DurationMs, TimeMs};
 use rustix::time::{ClockId, clock_gettime};
 
-/// `Clock` gives times that never go back, comparable with Unix time in records.
+/// `Clock` returns monotonic times that are comparable with the Unix times in records.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     boot_at_start_ms: u64,
@@ -13,7 +13,7 @@
 }
 
 impl Clock {
-    /// `open` reads the system's clock once; later steps of that clock have no effect.
+    /// `open` reads the system clock once; later steps of that clock have no effect.
     #[must_use]
     pub fn open() -> Self {
         Self {
@@ -22,20 +22,20 @@
         }
     }
 
-    /// `now` gives the present time.
+    /// `now` returns the current time.
     #[must_use]
     pub fn now(&self) -> TimeMs {
         self.start_ms + DurationMs(since_boot_ms().saturating_sub(self.boot_at_start_ms))
     }
 
-    /// `incarnation` tells this start of the process from any other.
+    /// `incarnation` distinguishes this start of the process from all others.
     #[must_use]
     pub fn incarnation(&self) -> u64 {
         self.start_ms.0
     }
 }
 
-/// `unix_now` reads the system's clock, which may step.
+/// `unix_now` reads the system clock, which may step.
 #[must_use]
 pub fn unix_now() -> TimeMs {
     let unix = SystemTime::now()
@@ -44,8 +44,8 @@
     TimeMs(saturating_ms(unix.as_millis()))
 }
 
-/// The clock since boot goes on while the machine is suspended, unlike the monotonic one: a process
-/// that wakes must not believe in a lease that ran out meanwhile.
+/// Reads the boot-time clock, which continues while the machine is suspended, unlike the monotonic clock:
+/// after a resume, a process must not rely on a lease that expired meanwhile.
 fn since_boot_ms() -> u64 {
     let time = clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(time.tv_sec).unwrap_or(0);
--- a/ragwortwick-daemon/src/daemon.rs
+++ b/ragwortwick-daemon/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The running entry host: starts every duty and stops them in order.
+//! The running entry host: starts all components and stops them in order.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,19 +16,19 @@
     http,
 };
 
-/// `DaemonError` says why the process could not start.
+/// `DaemonError` is why the process could not start.
 #[derive(Debug, Display)]
 pub enum DaemonError {
     /// cannot listen on {address}: {cause}
     Listen {
-        /// The address asked for.
+        /// Requested address.
         address: String,
-        /// What the system said.
+        /// Error from the system.
         cause: std::io::Error,
     },
     /// cannot register the metrics: {0}
     Metrics(prometheus::Error),
-    /// cannot start a duty: {0}
+    /// cannot start a thread: {0}
     Thread(std::io::Error),
     /// {0}
     Zone(ZoneStartError),
@@ -48,30 +48,30 @@
 }
 
 impl Daemon {
-    /// `spawn` starts all duties and returns once the host can be called.
+    /// `spawn` starts all components and returns once the host accepts calls.
     ///
     /// # Errors
     ///
-    /// Fails if an address can't be bound.
+    /// Fails if an address cannot be bound or a component cannot be started.
     pub async fn spawn(settings: Settings) -> Result<Self, DaemonError> {
         let settings = Arc::new(settings);
         let clock = Clock::open();
         let metrics = Metrics::open().map_err(DaemonError::Metrics)?;
-        let (lifecycle, lifecycle_feed) = watch::channel(Lifecycle::Running);
-        let sources = StateClients::open(&settings, clock, lifecycle_feed);
-        let feeds = sources.feeds();
+        let (lifecycle, lifecycle_watch) = watch::channel(Lifecycle::Running);
+        let clients = StateClients::open(&settings, clock, lifecycle_watch);
+        let watches = clients.watches();
         metrics
             .state
-            .follow_store(sources.store.counts())
+            .follow_store(clients.store.counts())
             .map_err(DaemonError::Metrics)?;
-        let peers = PeerClient::open(&settings, clock, feeds.clone());
-        let state = StateComponents::spawn(&settings, clock, &metrics, &peers, sources)
+        let peers = PeerClient::open(&settings, clock, watches.clone());
+        let state = StateComponents::spawn(&settings, clock, &metrics, &peers, clients)
             .map_err(DaemonError::Zone)?;
         let requests = Requests::open(
             &settings,
             clock,
             metrics.clone(),
-            feeds.clone(),
+            watches.clone(),
             peers.clone(),
             StoreClaims::open(&settings.store_address, clock),
         )
@@ -80,7 +80,7 @@
             settings: Arc::clone(&settings),
             clock,
             metrics,
-            watches: feeds,
+            watches,
             peers,
             requests: requests.handle(),
             jobs: state.jobs(),
@@ -116,24 +116,24 @@
         })
     }
 
-    /// `address` is where callers and operators reach this host.
+    /// `address` is the address for callers and operators.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// `peer_address` is where other entry hosts reach this host.
+    /// `peer_address` is the address for other entry hosts.
     #[must_use]
     pub fn peer_address(&self) -> SocketAddr {
         self.peer_server.address()
     }
 
-    /// `close` is the planned stop: it cuts off no request and then ends every duty.
+    /// `close` performs a planned stop: it completes all requests and then stops all components.
     pub async fn close(self) {
         self.lifecycle.send_replace(Lifecycle::Stopping);
         log_event!(Info, "stopping", host = self.app.settings.host);
         tokio::time::sleep(self.app.settings.drain_notice_ms.into()).await;
-        // Requests that peers handed over end with the callers' own; only then the duty may go.
+        // Requests from callers and from peers have to end before the component that runs them.
         self.server.close().await;
         self.peer_server.close().await;
         self.requests.close();
@@ -143,10 +143,10 @@
 }
 
 async fn bind_peers(address: &str, app: &App) -> Result<PeerServer, DaemonError> {
-    let failed = |cause| DaemonError::Listen {
+    let listen_error = |cause| DaemonError::Listen {
         address: address.to_owned(),
         cause,
     };
-    let listener = TcpListener::bind(address).await.map_err(failed)?;
-    PeerServer::spawn(listener, app.clone()).map_err(failed)
+    let listener = TcpListener::bind(address).await.map_err(listen_error)?;
+    PeerServer::spawn(listener, app.clone()).map_err(listen_error)
 }
--- a/ragwortwick-daemon/src/event_loop.rs
+++ b/ragwortwick-daemon/src/event_loop.rs
@@ -1,4 +1,4 @@
-//! A thread per duty, fed by a bounded ring of events.
+//! Event loop: a thread that drives one event handler from a bounded queue.
 
 use std::fmt;
 use std::io;
@@ -11,32 +11,32 @@
 
 use crate::Clock;
 
-/// Longest sleep of a duty without events; it bounds how late a duty notices a missed wakeup.
-const IDLE_WAIT_MS: DurationMs = DurationMs(1_000);
+/// Longest wait for an event; it bounds the delay of a missed wakeup.
+const MAX_WAIT_MS: DurationMs = DurationMs(1_000);
 
-/// Shortest sleep without an event. A machine that asks for a time that has passed would else never
-/// leave the processor to the threads that it waits for.
-const LEAST_WAIT_MS: DurationMs = DurationMs(1);
+/// Shortest wait for an event. A handler whose next wakeup has already passed would otherwise never yield
+/// the processor to the threads that it waits for.
+const MIN_WAIT_MS: DurationMs = DurationMs(1);
 
-/// `EventHandler` is a state machine that a duty's thread drives.
+/// `EventHandler` is a state machine that an event loop drives.
 pub trait EventHandler: Send + 'static {
-    /// What the machine learns.
+    /// Events that the handler processes.
     type Event: Send + 'static;
 
-    /// `on_event` takes in one event.
+    /// `on_event` processes one event.
     fn on_event(&mut self, now: TimeMs, event: Self::Event);
 
-    /// `on_wakeup` is called when `next_wakeup` has come.
+    /// `on_wakeup` is called once the time of `next_wakeup` is reached.
     fn on_wakeup(&mut self, now: TimeMs);
 
-    /// `next_wakeup` tells when the machine wants to act without an event.
+    /// `next_wakeup` returns when the handler has to run without an event.
     fn next_wakeup(&self) -> Option<TimeMs>;
 }
 
-/// `EventLoopSender` is the sending end of a duty's bounded ring; clones feed the same duty.
+/// `EventLoopSender` is the sending end of an event loop's bounded queue; clones send to the same queue.
 pub struct EventLoopSender<E>(Sender<Message<E>>, Arc<AtomicBool>);
 
-/// `SendError` gives back an event that found no place.
+/// `SendError` returns an event that could not be queued.
 #[derive(Debug)]
 pub struct SendError<E>(pub E);
 
@@ -61,17 +61,17 @@
 }
 
 impl<E> EventLoopSender<E> {
-    /// `is_closed` tells whether the duty has ended, so that waiting for a place is in vain.
+    /// `is_closed` reports whether the event loop has ended, so that the queue accepts no more events.
     #[must_use]
     pub fn is_closed(&self) -> bool {
         self.1.load(Ordering::SeqCst)
     }
 
-    /// `try_send` puts the event into the ring without waiting.
+    /// `try_send` queues the event without waiting.
     ///
     /// # Errors
     ///
-    /// Gives the event back if the ring is full or its duty has ended; the caller must refuse.
+    /// Returns the event if the queue is full or the event loop has ended; the caller must reject it.
     pub fn try_send(&self, event: E) -> Result<(), SendError<E>> {
         self.0
             .try_send(Message::Event(event))
@@ -79,84 +79,84 @@
                 TrySendError::Full(message) | TrySendError::Disconnected(message) => {
                     match message {
                         Message::Event(event) => SendError(event),
-                        Message::Stop => unreachable!("only events are offered"),
+                        Message::Stop => unreachable!("only events are sent"),
                     }
                 }
             })
     }
 
-    /// `send` waits for a place; for events that must not be lost, from threads that may wait.
+    /// `send` waits for a free place; it is for events that must not be lost, from threads that may block.
     ///
     /// # Errors
     ///
-    /// Gives the event back if the duty has ended.
+    /// Returns the event if the event loop has ended.
     pub fn send(&self, event: E) -> Result<(), SendError<E>> {
         self.0
             .send(Message::Event(event))
             .map_err(|error| match error.0 {
                 Message::Event(event) => SendError(event),
-                Message::Stop => unreachable!("only events are pushed"),
+                Message::Stop => unreachable!("only events are sent"),
             })
     }
 }
 
-/// `EventLoop` is a running duty.
+/// `EventLoop` is a running event loop.
 #[derive(Debug)]
 pub struct EventLoop<E> {
-    ring: EventLoopSender<E>,
+    sender: EventLoopSender<E>,
     thread: JoinHandle<()>,
 }
 
 impl<E: Send + 'static> EventLoop<E> {
-    /// `spawn` starts the thread and gives the running handle.
+    /// `spawn` starts the thread and returns its handle.
     ///
     /// # Errors
     ///
-    /// Fails if the system gives no thread.
+    /// Fails if the system cannot start a thread.
     pub fn spawn<M: EventHandler<Event = E>>(
         name: &str,
         capacity: usize,
         clock: Clock,
-        machine: M,
+        handler: M,
     ) -> io::Result<Self> {
-        let (sender, receiver) = bounded(capacity);
+        let (events, receiver) = bounded(capacity);
         let has_ended = Arc::new(AtomicBool::new(false));
-        let ring = EventLoopSender(sender, Arc::clone(&has_ended));
+        let sender = EventLoopSender(events, Arc::clone(&has_ended));
         let thread = Builder::new().name(name.to_owned()).spawn(move || {
-            run(clock, machine, &receiver);
+            run(clock, handler, &receiver);
             has_ended.store(true, Ordering::SeqCst);
         })?;
-        Ok(Self { ring, thread })
+        Ok(Self { sender, thread })
     }
 
-    /// `sender` gives a sending end.
+    /// `sender` returns a sending end of the queue.
     #[must_use]
     pub fn sender(&self) -> EventLoopSender<E> {
-        self.ring.clone()
+        self.sender.clone()
     }
 
-    /// `close` lets the duty handle what is in the ring and ends it.
+    /// `close` processes the queued events and ends the event loop.
     pub fn close(self) {
-        // A duty that has ended takes no message and needs none.
-        let _ = self.ring.0.send(Message::Stop);
-        // A duty that panicked has ended the process already, so there is no result to look at.
+        // An event loop that has ended accepts no message and needs none.
+        let _ = self.sender.0.send(Message::Stop);
+        // A panic in the thread aborts the process, so there is no result to check.
         let _ = self.thread.join();
     }
 }
 
-fn run<M: EventHandler>(clock: Clock, mut machine: M, receiver: &Receiver<Message<M::Event>>) {
+fn run<M: EventHandler>(clock: Clock, mut handler: M, receiver: &Receiver<Message<M::Event>>) {
     loop {
         let now = clock.now();
-        let wakeup = machine.next_wakeup();
+        let wakeup = handler.next_wakeup();
         if wakeup.is_some_and(|at| at <= now) {
-            machine.on_wakeup(now);
+            handler.on_wakeup(now);
         }
-        let wait_ms = machine
+        let wait_ms = handler
             .next_wakeup()
-            .map_or(IDLE_WAIT_MS, |at| at.since(clock.now()))
-            .clamp(LEAST_WAIT_MS, IDLE_WAIT_MS);
+            .map_or(MAX_WAIT_MS, |at| at.since(clock.now()))
+            .clamp(MIN_WAIT_MS, MAX_WAIT_MS);
         match receiver.recv_timeout(wait_ms.into()) {
-            Ok(Message::Event(event)) => machine.on_event(clock.now(), event),
+            Ok(Message::Event(event)) => handler.on_event(clock.now(), event),
             Err(RecvTimeoutError::Timeout) => {}
             Ok(Message::Stop) | Err(RecvTimeoutError::Disconnected) => break,
         }
--- a/ragwortwick-daemon/src/keys.rs
+++ b/ragwortwick-daemon/src/keys.rs
@@ -1,4 +1,4 @@
-//! Keys of the platform's store.
+//! Keys in the platform's store.
 
 use ragwortwick_core::{JobId, ZoneName};
 
@@ -11,22 +11,22 @@
 /// Prefix of the records of accepted jobs.
 pub(crate) const JOBS_PREFIX: &str = "jobs/";
 
-/// `table_history` gives the key of an accepted table; ten digits keep the keys in number order.
+/// `table_history` returns the key of an accepted table; ten digits make the order of keys that of numbers.
 pub(crate) fn table_history(number: u64) -> String {
     format!("{TABLE_HISTORY_PREFIX}{number:010}")
 }
 
-/// `job` gives the key of a job's record.
+/// `job` returns the key of a job's record.
 pub(crate) fn job(job_id: &JobId) -> String {
     format!("{JOBS_PREFIX}{job_id}")
 }
 
-/// `zone_owner` gives the key that the owner of a zone holds by a lease.
+/// `zone_owner` returns the key that the owner of a zone holds under a lease.
 pub(crate) fn zone_owner(zone: &ZoneName) -> String {
     format!("zones/{zone}/owner")
 }
 
-/// `zone_epoch` gives the key of the last epoch given in a zone.
+/// `zone_epoch` returns the key of the last epoch issued in a zone.
 pub(crate) fn zone_epoch(zone: &ZoneName) -> String {
     format!("zones/{zone}/epoch")
 }
--- a/ragwortwick-daemon/src/lib.rs
+++ b/ragwortwick-daemon/src/lib.rs
@@ -1,4 +1,4 @@
-//! The entry host process: takes requests and jobs, keeps the table in force and places gangs.
+//! The entry host process: serves requests and jobs, maintains the table in force and places gangs.
 
 mod app;
 mod area;
--- a/ragwortwick-daemon/src/logging.rs
+++ b/ragwortwick-daemon/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs to standard output, one line of key=value pairs per event, never waiting for the reader.
+//! Logging to standard output, one line of key=value pairs per event, without blocking on the reader.
 
 use std::fmt;
 use std::io::{self, Write};
@@ -14,16 +14,16 @@
 use log4rs::encode::pattern::PatternEncoder;
 use log4rs::encode::writer::simple::SimpleWriter;
 
-/// Lines that may wait for a slow reader: seconds of an ordinary day, and at most about a megabyte.
-const RING_LENGTH: usize = 4_096;
+/// Lines that may be queued for a slow reader: some seconds of usual load, about a megabyte at most.
+const QUEUE_LENGTH: usize = 4_096;
 
-/// Pause of the writer after each batch, so that many lines cost one wakeup and one call.
+/// Pause of the writer after each batch, so that many lines take one wakeup and one system call.
 const BATCH_PAUSE: Duration = Duration::from_millis(20);
 
-/// `RingAppender` hands lines to a thread that writes them.
+/// `RingAppender` passes lines to a thread that writes them.
 ///
-/// A reader that stops reading fills its pipe, and a line written there directly would block a
-/// request. The bounded ring takes lines meanwhile, and counts those that find no place.
+/// If the reader stops reading, the pipe fills up, and a direct write would block a request. The bounded
+/// queue holds lines meanwhile; lines that find it full are dropped and counted.
 struct RingAppender {
     encoder: PatternEncoder,
     lines: Sender<Vec<u8>>,
@@ -67,7 +67,7 @@
             batch.extend_from_slice(&line);
         }
         let mut output = io::stdout().lock();
-        // Nobody is left to tell if standard output is closed.
+        // An error cannot be reported anywhere once standard output is closed.
         if output
             .write_all(&batch)
             .and_then(|()| output.flush())
@@ -81,15 +81,15 @@
     }
 }
 
-/// `open_log` sends the process's log lines to standard output.
+/// `open_log` directs the log of the process to standard output.
 ///
 /// # Errors
 ///
-/// Fails if a log is open already.
+/// Fails if a logger is already installed.
 pub fn open_log(level: LevelFilter) -> Result<log4rs::Handle, log::SetLoggerError> {
     let encoder = PatternEncoder::new("time={d(%Y-%m-%dT%H:%M:%S%.3fZ)(utc)} level={l} {m}{n}");
-    let (lines, waiting) = bounded(RING_LENGTH);
-    thread::spawn(move || write_lines(&waiting));
+    let (lines, queued) = bounded(QUEUE_LENGTH);
+    thread::spawn(move || write_lines(&queued));
     let ring = RingAppender {
         encoder,
         lines,
@@ -104,7 +104,7 @@
     }
 }
 
-/// `flush_log` gives the writer time for the last lines of a process that ends.
+/// `flush_log` waits for the writer to write the last lines before the process exits.
 pub fn flush_log() {
     thread::sleep(BATCH_PAUSE * 3);
 }
--- a/ragwortwick-daemon/src/main.rs
+++ b/ragwortwick-daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! `ragwortwickd`, the entry host process.
+//! `ragwortwickd`, the entry host daemon.
 
 use std::process::ExitCode;
 
@@ -24,7 +24,7 @@
 const EXIT_USAGE: u8 = 2;
 
 fn main() -> ExitCode {
-    // A bug ends the process: the platform replaces it, and half-changed state serves nobody.
+    // A panic aborts the process: the platform replaces it, and inconsistent state is never used.
     let print_panic = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |info| {
         print_panic(info);
@@ -76,8 +76,8 @@
     }
 }
 
-/// One thread for input and output: the hosts have a quarter of a core, and every switch between
-/// threads is paid for. The coordinator has a thread of its own beside it.
+/// Runs the area host with a single I/O thread: the hosts have a quarter of a core, and thread switches
+/// cost processor time. The coordinator runs on a thread of its own.
 fn run_area(settings: AreaSettings) -> ExitCode {
     let Some(runtime) = open_runtime(Builder::new_current_thread()) else {
         return ExitCode::FAILURE;
@@ -101,7 +101,7 @@
         loop {
             tokio::select! {
                 _ = terminate.recv() => break,
-                // What can change without a restart comes through the store, not through the file.
+                // Settings that can change without a restart come from the store, not from the file.
                 _ = hangup.recv() => log_event!(Info, "reload", is_changed = false),
             }
         }
@@ -111,7 +111,7 @@
     })
 }
 
-/// Opens the log and the threads; says on the standard error what could not be had.
+/// Opens the log and the runtime; reports a failure on standard error.
 fn open_runtime(mut builder: Builder) -> Option<Runtime> {
     if let Err(error) = open_log(log::LevelFilter::Info) {
         eprintln!("cannot open the log: {error}");
@@ -154,7 +154,7 @@
         match Daemon::spawn(settings).await {
             Ok(daemon) => {
                 terminate.recv().await;
-                // A second signal finds this handler in place and changes nothing.
+                // A second signal has no effect, as this handler stays installed.
                 daemon.close().await;
                 flush_log();
                 ExitCode::SUCCESS
--- a/ragwortwick-daemon/src/metrics.rs
+++ b/ragwortwick-daemon/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The process's metrics, read at `/metrics`.
+//! Metrics of the process, served at `/metrics`.
 
 use prometheus::{Encoder, HistogramOpts, HistogramVec, TextEncoder};
 
@@ -8,18 +8,18 @@
 pub use registry::{MetricDescription, MetricRegistry};
 pub use state::StateMetrics;
 
-/// Buckets in seconds from a millisecond to the longest deadline of a request.
+/// Bucket bounds in seconds, from one millisecond to the longest deadline of a request.
 const REQUEST_BUCKETS_S: [f64; 13] = [
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 5.0, 30.0, 120.0,
 ];
 
-/// `Metrics` holds the registered metrics; clones share them.
+/// `Metrics` holds the registered metrics; clones share the same metrics.
 #[derive(Clone, Debug)]
 pub struct Metrics {
     registry: MetricRegistry,
-    /// Completion of requests by customer, class and verdict.
+    /// Completion time of requests by customer, class and verdict.
     pub request_completion_seconds: HistogramVec,
-    /// Metrics of the table, the zone and its jobs.
+    /// Metrics of the table, the zone and the jobs of the zone.
     pub state: StateMetrics,
 }
 
@@ -28,7 +28,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if two metrics have one name.
+    /// Fails if two metrics have the same name.
     pub fn open() -> prometheus::Result<Self> {
         let registry = MetricRegistry::default();
         let request_completion_seconds = HistogramVec::new(
@@ -48,17 +48,17 @@
         })
     }
 
-    /// `describe` lists every metric, also those without a value so far.
+    /// `describe` lists all metrics, including those without a value so far.
     #[must_use]
     pub fn describe(&self) -> Vec<MetricDescription> {
         self.registry.describe()
     }
 
-    /// `render` writes all metrics in the text format.
+    /// `render` formats all metrics in the text format.
     ///
     /// # Errors
     ///
-    /// Fails if a metric can't be written as text.
+    /// Fails if a metric cannot be formatted as text.
     pub fn render(&self) -> prometheus::Result<Vec<u8>> {
         let mut out = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut out)?;
--- a/ragwortwick-daemon/src/nonce.rs
+++ b/ragwortwick-daemon/src/nonce.rs
@@ -1,11 +1,11 @@
-//! Nonces that tell the writes of this process from all others.
+//! Nonces that distinguish the writes of this process from all others.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use ragwortwick_core::HostName;
 
-/// `NonceGenerator` gives texts that no other writer uses; clones count together.
+/// `NonceGenerator` generates texts that no other writer uses; clones share one counter.
 #[derive(Clone, Debug)]
 pub(crate) struct NonceGenerator {
     prefix: Arc<str>,
@@ -13,7 +13,7 @@
 }
 
 impl NonceGenerator {
-    /// `new` starts the count of one start of the process.
+    /// `new` creates the generator of one incarnation of the process.
     pub(crate) fn new(host: &HostName, incarnation: u64) -> Self {
         Self {
             prefix: Arc::from(format!("{host}-{incarnation}")),
@@ -21,7 +21,7 @@
         }
     }
 
-    /// `next` gives a fresh nonce.
+    /// `next` returns a new nonce.
     pub(crate) fn next(&self) -> String {
         let number = self.count.fetch_add(1, Ordering::Relaxed);
         format!("{}-{number}", self.prefix)
--- a/ragwortwick-daemon/src/state_components.rs
+++ b/ragwortwick-daemon/src/state_components.rs
@@ -1,4 +1,4 @@
-//! The duties behind the feeds: table, host list, jobs and zone.
+//! The components behind the watches: table, host list, jobs and zone.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::Arc;
@@ -17,7 +17,7 @@
     ZoneHandle,
 };
 
-/// `StateClients` are the clients of the platform, running before anything needs them.
+/// `StateClients` holds the platform clients and the watches on their state, before the components start.
 #[derive(Debug)]
 pub(crate) struct StateClients {
     pub(crate) store: StoreClient,
@@ -25,11 +25,11 @@
     in_force: TableInForce,
     waiting_jobs: watch::Sender<Arc<Vec<CustomerJobs>>>,
     owned_epoch: watch::Sender<Option<Epoch>>,
-    feeds: StateWatches,
+    watches: StateWatches,
 }
 
 impl StateClients {
-    /// `open` makes the clients and the feeds that follow them.
+    /// `open` creates the clients and the watches on their state.
     pub(crate) fn open(
         settings: &Settings,
         clock: Clock,
@@ -39,14 +39,14 @@
         let store = StoreClient::open(StoreOptions::new(&settings.store_address, seed));
         let hosts = HostListPoller::spawn(HostListOptions::new(&settings.hosts_address, seed));
         let in_force = TableInForce::default();
-        let (owned_epoch, owned_seen) = watch::channel(None);
-        let (waiting_jobs, waiting_seen) = watch::channel(Arc::default());
-        let feeds = StateWatches {
+        let (owned_epoch, owned_epoch_watch) = watch::channel(None);
+        let (waiting_jobs, waiting_jobs_watch) = watch::channel(Arc::default());
+        let watches = StateWatches {
             table: in_force.subscribe(),
             hosts: hosts.hosts(),
             is_store_reachable: store.reachable(),
-            owned_epoch: owned_seen,
-            waiting_jobs: waiting_seen,
+            owned_epoch: owned_epoch_watch,
+            waiting_jobs: waiting_jobs_watch,
             lifecycle,
         };
         Self {
@@ -55,17 +55,17 @@
             in_force,
             waiting_jobs,
             owned_epoch,
-            feeds,
+            watches,
         }
     }
 
-    /// `feeds` gives the feeds.
-    pub(crate) fn feeds(&self) -> StateWatches {
-        self.feeds.clone()
+    /// `watches` returns the watches on the state.
+    pub(crate) fn watches(&self) -> StateWatches {
+        self.watches.clone()
     }
 }
 
-/// `StateComponents` are the running duties.
+/// `StateComponents` holds the running components.
 #[derive(Debug)]
 pub(crate) struct StateComponents {
     hosts: HostListPoller,
@@ -76,13 +76,13 @@
 }
 
 impl StateComponents {
-    /// `spawn` starts following table, zone and jobs.
+    /// `spawn` starts the components for table, zone and jobs.
     pub(crate) fn spawn(
         settings: &Arc<Settings>,
         clock: Clock,
         metrics: &Metrics,
         peers: &PeerClient,
-        sources: StateClients,
+        clients: StateClients,
     ) -> Result<Self, ZoneStartError> {
         let StateClients {
             store,
@@ -90,14 +90,14 @@
             in_force,
             waiting_jobs,
             owned_epoch,
-            feeds,
-        } = sources;
+            watches,
+        } = clients;
         let nonces = NonceGenerator::new(&settings.host, clock.incarnation());
         let config = ConfigHandle::open(
             in_force,
             store.paced(),
             peers.clone(),
-            feeds.hosts.clone(),
+            watches.hosts.clone(),
             clock,
             metrics.clone(),
         );
@@ -108,22 +108,22 @@
             nonces: nonces.clone(),
             peers: peers.clone(),
             metrics: metrics.clone(),
-            table: feeds.table,
-            hosts: feeds.hosts.clone(),
-            lifecycle: feeds.lifecycle,
+            table: watches.table,
+            hosts: watches.hosts.clone(),
+            lifecycle: watches.lifecycle,
             waiting_jobs,
             owned_epoch,
         })?;
-        let table = TableDuty::spawn(&config, feeds.owned_epoch);
+        let table = TableDuty::spawn(&config, watches.owned_epoch);
         let jobs = JobsHandle {
             store,
             config: config.clone(),
-            hosts: feeds.hosts,
+            hosts: watches.hosts,
             peers: peers.clone(),
             zone: zone.handle(),
             clock,
             nonces,
-            queue_limit: QueueLimit::open(feeds.waiting_jobs),
+            queue_limit: QueueLimit::open(watches.waiting_jobs),
             doubts: Doubts::default(),
         };
         Ok(Self {
@@ -135,22 +135,22 @@
         })
     }
 
-    /// `config` gives a handle to the table.
+    /// `config` returns a handle to the table.
     pub(crate) fn config(&self) -> ConfigHandle {
         self.config.clone()
     }
 
-    /// `jobs` gives a handle to the jobs.
+    /// `jobs` returns a handle to the jobs.
     pub(crate) fn jobs(&self) -> JobsHandle {
         self.jobs.clone()
     }
 
-    /// `zone` gives a handle to the zone.
+    /// `zone` returns a handle to the zone.
     pub(crate) fn zone(&self) -> ZoneHandle {
         self.zone.handle()
     }
 
-    /// `close` gives the zone up and ends the duties.
+    /// `close` releases the zone and stops the components.
     pub(crate) async fn close(self) {
         self.zone.close().await;
         self.table.close().await;
@@ -158,7 +158,8 @@
     }
 }
 
-/// A number that differs between hosts, so that two started in one millisecond share no jitter.
+/// Derives a seed that differs between hosts, so that two hosts started in the same millisecond use
+/// different jitter.
 fn seed_of(host: &HostName, incarnation: u64) -> u64 {
     let mut hasher = DefaultHasher::new();
     host.hash(&mut hasher);
--- a/ragwortwick-daemon/src/status.rs
+++ b/ragwortwick-daemon/src/status.rs
@@ -1,4 +1,4 @@
-//! What this entry host and the fleet know, for operators and for peers.
+//! Status of this entry host and of the fleet, for operators and peers.
 
 use futures_util::future::join_all;
 use ragwortwick_border::{FleetStatus, HostKind, HostStatus, PeerCall, PeerReply, ZoneStatus};
@@ -6,11 +6,11 @@
 
 use crate::{App, Lifecycle};
 
-/// Longest wait for one host's part: an operator sees the others within a second and a half, and
-/// the host that did not answer by name.
-const PART_TIMEOUT_MS: DurationMs = DurationMs(1_500);
+/// Timeout for the status of one host: within a second and a half, an operator gets the status of the
+/// others and the name of the host that did not respond.
+const HOST_STATUS_TIMEOUT_MS: DurationMs = DurationMs(1_500);
 
-/// `host_status` tells what this host knows by itself.
+/// `host_status` returns the status of this host.
 pub async fn host_status(app: &App) -> HostStatus {
     let table_number = app.config.current().map_or(0, |table| table.number);
     let store_is_reachable = *app.watches.is_store_reachable.borrow();
@@ -32,17 +32,17 @@
     }
 }
 
-/// `fleet_status` asks every listed entry host and names those that did not answer.
+/// `fleet_status` queries all listed entry hosts and names those that did not respond.
 pub async fn fleet_status(app: &App) -> FleetStatus {
     let peers = listed_peers(app);
-    let answers = join_all(peers.iter().map(|peer| peer_status(app, peer)));
-    let (own, answers) = tokio::join!(host_status(app), answers);
+    let responses = join_all(peers.iter().map(|peer| peer_status(app, peer)));
+    let (own, responses) = tokio::join!(host_status(app), responses);
     let mut fleet = FleetStatus {
         hosts: vec![own],
         unreachable: Vec::new(),
     };
-    for (peer, answer) in peers.into_iter().zip(answers) {
-        match answer {
+    for (peer, response) in peers.into_iter().zip(responses) {
+        match response {
             Some(status) => fleet.hosts.push(status),
             None => fleet.unreachable.push(peer),
         }
@@ -52,16 +52,18 @@
 }
 
 async fn owned_zone(app: &App) -> Option<ZoneStatus> {
-    // A zone duty that is busy must not hide the rest of the host's status.
-    tokio::time::timeout(PART_TIMEOUT_MS.into(), app.zone.status())
+    // A busy zone component must not delay the rest of the host's status.
+    tokio::time::timeout(HOST_STATUS_TIMEOUT_MS.into(), app.zone.status())
         .await
         .ok()
         .flatten()
 }
 
 async fn peer_status(app: &App, peer: &HostName) -> Option<HostStatus> {
-    let call = app.peers.call(peer, PeerCall::Status, PART_TIMEOUT_MS);
-    match tokio::time::timeout(PART_TIMEOUT_MS.into(), call).await {
+    let call = app
+        .peers
+        .call(peer, PeerCall::Status, HOST_STATUS_TIMEOUT_MS);
+    match tokio::time::timeout(HOST_STATUS_TIMEOUT_MS.into(), call).await {
         Ok(Ok(PeerReply::Status(status))) => Some(status),
         _ => None,
     }
--- a/ragwortwick-daemon/src/watches.rs
+++ b/ragwortwick-daemon/src/watches.rs
@@ -1,4 +1,4 @@
-//! Facts that every duty follows: the table in force, the host list and the process's own state.
+//! Watches on the state that all components follow: table, host list, store, zone and process.
 
 use std::sync::Arc;
 
@@ -9,22 +9,22 @@
 /// `Lifecycle` is the state of the process as a whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lifecycle {
-    /// Serving.
+    /// The process serves requests.
     Running,
-    /// A planned stop is under way: the balancer's check fails, begun work is finished.
+    /// A planned stop is under way: the load balancer's check fails, and work in progress is completed.
     Stopping,
 }
 
-/// `StateWatches` gives receivers that always hold the latest fact; clones follow the same facts.
+/// `StateWatches` holds receivers of the latest values; clones receive the same values.
 #[derive(Clone, Debug)]
 pub struct StateWatches {
-    /// The table in force; `None` until one was seen.
+    /// Table in force; `None` until one is known.
     pub table: watch::Receiver<Option<Arc<AcceptedTable>>>,
-    /// The platform's list of hosts; empty until it was read.
+    /// The platform's list of hosts; empty until it is first read.
     pub hosts: watch::Receiver<Arc<HostList>>,
-    /// Whether the store answered the last call.
+    /// Whether the store replied to the last call.
     pub is_store_reachable: watch::Receiver<bool>,
-    /// Epoch under which this host owns its zone.
+    /// Epoch under which this host owns its zone; none if it does not own it.
     pub owned_epoch: watch::Receiver<Option<Epoch>>,
     /// Waiting jobs of the zone that this host owns, by customer; empty if it owns none.
     pub waiting_jobs: watch::Receiver<Arc<Vec<CustomerJobs>>>,
