--- a/ragwortwick-area/src/accounting.rs
+++ b/ragwortwick-area/src/accounting.rs
@@ -28,7 +28,7 @@
     JobOver,
     /// It was stopped: it was unknown whether its start had been carried out.
     StartInDoubt,
-    /// Its worker crashed: another incarnation replies at its address, and it had not announced to leave.
+    /// Its worker crashed: another incarnation replies at its address, and no leave was announced.
     WorkerCrashed,
     /// Its worker left, as it had announced.
     WorkerLeft,
--- a/ragwortwick-area/src/crashes.rs
+++ b/ragwortwick-area/src/crashes.rs
@@ -17,8 +17,8 @@
 /// Age up to which a run counts as starting.
 const STARTING_MS: DurationMs = DurationMs(1_000);
 
-/// Tolerance on the run age, in addition to a quarter of it, within which two crashes count as at the same
-/// point of a task's work.
+/// Tolerance, beside a quarter of the lower run age, within which two crashes count as at the same point of
+/// a task's work.
 const SAME_POINT_TOLERANCE_MS: DurationMs = DurationMs(250);
 
 /// `CrashHistory` holds the worker crashes that are attributed to one task.
@@ -96,7 +96,7 @@
 }
 
 /// The runs that a crash is attributed to: the likely causes, or all runs if there are none.
-pub(crate) fn suspects(runs: &[RunAtLoss]) -> Vec<&RunAtLoss> {
+pub(crate) fn suspect_runs(runs: &[RunAtLoss]) -> Vec<&RunAtLoss> {
     let likely: Vec<&RunAtLoss> = runs.iter().filter(|run| run.is_likely()).collect();
     if likely.is_empty() {
         runs.iter().collect()
--- a/ragwortwick-area/src/job.rs
+++ b/ragwortwick-area/src/job.rs
@@ -126,7 +126,7 @@
     pub tail_target_ms: Option<DurationMs>,
     /// Whether the tasks are fillers, which use only processor time that other tasks leave unused.
     pub is_filler: bool,
-    /// Tasks of a long-running step that the scheduler may keep stopped at the same time.
+    /// Maximum number of tasks of a long-running step that the scheduler may have stopped at one time.
     pub may_miss: Option<u32>,
 }
 
--- a/ragwortwick-area/src/limits.rs
+++ b/ragwortwick-area/src/limits.rs
@@ -29,7 +29,7 @@
 #[common(wire)]
 #[serde(default, deny_unknown_fields)]
 pub struct Weights {
-    /// Value of a job of mean size by the priority of its queue, from 0; lower ones use the last entry.
+    /// Value of a job of mean size by the queue's priority, from 0; priorities past the end use the last.
     pub by_priority: Vec<f64>,
     /// Share of the value that remains once the latency objective is missed.
     pub late_share: f64,
--- a/ragwortwick-area/src/losses.rs
+++ b/ragwortwick-area/src/losses.rs
@@ -6,7 +6,7 @@
 
 use crate::allocation::{Allocation, AllocationPhase};
 use crate::coordinator::Coordinator;
-use crate::crashes::{RunAtLoss, has_likely_cause, suspects};
+use crate::crashes::{RunAtLoss, has_likely_cause, suspect_runs};
 use crate::job::TaskId;
 use crate::messages::Action;
 use crate::outcome::RunOutcome;
@@ -121,16 +121,16 @@
 /// `RecentLosses` tracks the workers that were lost in the last seconds.
 #[derive(Debug, Default)]
 pub(crate) struct RecentLosses {
-    losses: Vec<RecentLoss>,
+    recent: Vec<RecentLoss>,
     /// Losses that wait for others of the same event, each with the time of its attribution.
     unattributed: Vec<(TimeMs, LostWorker)>,
 }
 
 impl RecentLosses {
     fn record(&mut self, now: TimeMs, lost: &LostWorker) {
-        self.losses
+        self.recent
             .retain(|loss| now.since(loss.contact_loss.since) <= RECENT_LOSS_MS);
-        self.losses
+        self.recent
             .extend(lost.contact_loss.map(|contact_loss| RecentLoss {
                 worker: lost.worker.clone(),
                 contact_loss,
@@ -240,7 +240,7 @@
         let (lost_together, may_be_task) = self.lost_together(&lost.worker, lost.contact_loss);
         let suspects = match lost.cause {
             WorkerLossCause::Crashed if may_be_task => {
-                self.attribute_crash(now, &suspects(&lost.runs))
+                self.attribute_crash(now, &suspect_runs(&lost.runs))
             }
             WorkerLossCause::Crashed | WorkerLossCause::Left | WorkerLossCause::OutOfReach => {
                 Vec::new()
@@ -297,7 +297,7 @@
         });
         let lost = self
             .losses
-            .losses
+            .recent
             .iter()
             .filter(|loss| loss.worker != *name);
         let lost = lost.map(|loss| (loss.contact_loss, loss.has_likely_cause));
--- a/ragwortwick-area/src/record_batches.rs
+++ b/ragwortwick-area/src/record_batches.rs
@@ -65,7 +65,7 @@
     starts: Vec<PendingStart>,
 }
 
-/// `DirtyJobs` is a queue of the jobs that have changed since their last record, by first change.
+/// `DirtyJobs` queues the jobs that have changed since their last record, in the order of their first change.
 #[derive(Debug, Default)]
 struct DirtyJobs {
     positions: BTreeMap<JobId, u64>,
@@ -138,12 +138,12 @@
 
     /// Takes the run ends whose effect is stored: their batch and all earlier ones are.
     fn take_stored_acks(&mut self) -> Vec<EndAcks> {
-        let first_open = self.in_flight.keys().next().copied();
-        let open = match first_open {
+        let first_in_flight = self.in_flight.keys().next().copied();
+        let unstored = match first_in_flight {
             Some(batch) => self.acks_by_batch.split_off(&batch),
             None => BTreeMap::new(),
         };
-        let stored = std::mem::replace(&mut self.acks_by_batch, open);
+        let stored = std::mem::replace(&mut self.acks_by_batch, unstored);
         stored.into_values().collect()
     }
 }
--- a/ragwortwick-area/src/validation.rs
+++ b/ragwortwick-area/src/validation.rs
@@ -65,8 +65,7 @@
         let tasks: u64 = self.steps.iter().map(|step| u64::from(step.count)).sum();
         let total = tasks.saturating_mul(u64::from(self.occurrence_count()));
         if total > MAX_TASKS {
-            let text =
-                format!("{total} tasks over all occurrences, at most {MAX_TASKS} are allowed");
+            let text = format!("{total} tasks over all occurrences, at most {MAX_TASKS} are taken");
             return Err(invalid("steps".to_owned(), text));
         }
         Ok(())
--- a/ragwortwick-daemon/src/logging.rs
+++ b/ragwortwick-daemon/src/logging.rs
@@ -20,7 +20,7 @@
 /// Pause of the writer after each batch, so that many lines take one wakeup and one system call.
 const BATCH_PAUSE: Duration = Duration::from_millis(20);
 
-/// `RingAppender` passes lines to a thread that writes them.
+/// `RingAppender` passes log lines to a thread that writes them.
 ///
 /// If the reader stops reading, the pipe fills up, and a direct write would block a request. The bounded
 /// queue holds lines meanwhile; lines that find it full are dropped and counted.
@@ -90,13 +90,13 @@
     let encoder = PatternEncoder::new("time={d(%Y-%m-%dT%H:%M:%S%.3fZ)(utc)} level={l} {m}{n}");
     let (lines, queued) = bounded(QUEUE_LENGTH);
     thread::spawn(move || write_lines(&queued));
-    let ring = RingAppender {
+    let appender = RingAppender {
         encoder,
         lines,
         dropped: AtomicU64::new(0),
     };
     let config = Config::builder()
-        .appender(Appender::builder().build("ring", Box::new(ring)))
+        .appender(Appender::builder().build("ring", Box::new(appender)))
         .build(Root::builder().appender("ring").build(level));
     match config {
         Ok(config) => log4rs::init_config(config),
