--- a/ragwortwick-emulator/examples/experiment.rs
+++ b/ragwortwick-emulator/examples/experiment.rs
@@ -95,7 +95,7 @@
             workload: workload.clone(),
             limits: limits.clone(),
         };
-        let until = TimeMs(workload.for_ms.0);
+        let until = TimeMs(workload.duration_ms.0);
         let report = Simulation::new(options, draw_faults(seed, faults, until)).run();
         for violation in &report.violations {
             eprintln!("seed={seed} {violation}");
--- a/ragwortwick-emulator/src/arrivals.rs
+++ b/ragwortwick-emulator/src/arrivals.rs
@@ -58,9 +58,9 @@
             let mut at = 0.0;
             loop {
                 let gap: f64 = rng.random_range(0.0..2.0);
-                let per_s = queue.per_s * workload.rate_factor_at(&queue.name, at);
+                let per_s = queue.arrivals_per_s * workload.rate_factor_at(&queue.name, at);
                 at += gap * 1_000.0 / per_s.max(0.001);
-                if at >= as_float(workload.for_ms.0) {
+                if at >= as_float(workload.duration_ms.0) {
                     break;
                 }
                 jobs.push(draw_job(
@@ -73,7 +73,7 @@
             }
         }
         jobs.sort_by_key(|job| (job.at, job.record.job_id.clone()));
-        draw_crashing_tasks(seed, workload.crashing, &mut jobs);
+        draw_crashing_tasks(seed, workload.crashing_share, &mut jobs);
         Self { jobs }
     }
 }
@@ -103,17 +103,17 @@
     racks: u32,
 ) -> Arrival {
     let job_id = JobId::new(format!("{:016x}", rng.random::<u64>()));
-    let step_count = 1 + usize::from(rng.random_bool(queue.second_step));
+    let step_count = 1 + usize::from(rng.random_bool(queue.second_step_share));
     let mut steps = Vec::new();
     let mut work_ms = Vec::new();
     for number in 0..step_count {
-        let true_ms = queue.work_ms * rng.random_range(0.5..1.6);
+        let true_ms = queue.mean_work_ms * rng.random_range(0.5..1.6);
         let estimate_ms = true_ms * draw_estimate_factor(rng, queue);
         work_ms.push(DurationMs(truncate(true_ms)));
         let accelerators = queue.accelerators[rng.random_range(0..queue.accelerators.len())];
         let width = draw_width(rng, queue);
-        let is_gang = rng.random_bool(queue.gang);
-        let has_label = rng.random_bool(queue.labelled);
+        let is_gang = rng.random_bool(queue.gang_share);
+        let has_label = rng.random_bool(queue.labelled_share);
         steps.push(StepSpec {
             count: width,
             need: Resources {
@@ -125,26 +125,26 @@
             after: if number > 0 { vec![0] } else { Vec::new() },
             is_gang,
             wants_same_rack: is_gang
-                && rng.random_bool(queue.same_rack)
-                && u64::from(width) * accelerators <= queue.most_in_rack,
+                && rng.random_bool(queue.same_rack_share)
+                && u64::from(width) * accelerators <= queue.max_in_rack,
             required_label: has_label.then(|| "a".into()),
             data_rack: (!is_gang && rng.random_bool(0.1)).then(|| {
                 format!("r{}", rng.random_range(0..racks.max(1)))
                     .as_str()
                     .into()
             }),
-            max_per_worker: rng.random_bool(queue.spread_out).then_some(2),
-            saves_checkpoints: rng.random_bool(queue.saves),
+            max_per_worker: rng.random_bool(queue.spread_share).then_some(2),
+            saves_checkpoints: rng.random_bool(queue.checkpointing_share),
             ..StepSpec::default()
         });
     }
-    let schedule = rng.random_bool(queue.timed).then(|| Schedule {
+    let schedule = rng.random_bool(queue.scheduled_share).then(|| Schedule {
         first_unix_ms: at + DurationMs(1_500),
         interval_ms: DurationMs(2_500),
         occurrences: rng.random_range(1..4),
     });
     let cancel_at = rng
-        .random_bool(workload.cancelled)
+        .random_bool(workload.cancelled_share)
         .then(|| at + DurationMs(rng.random_range(1..6_000)));
     let customer = customer_name(rng.random_range(0..workload.guaranteed_shares.len()));
     let payload = format!("payload of {job_id}");
@@ -165,7 +165,7 @@
         failure_probability: if rng.random_bool(0.03) {
             1.0
         } else {
-            workload.failing
+            workload.failing_share
         },
         crashing_task: None,
     }
@@ -183,7 +183,7 @@
         attempts: queue.attempts,
         stretch: queue.stretch,
         target_latency_ms: queue.target_latency_ms,
-        advice: queue.advised.then_some(advice),
+        advice: queue.needs_advice.then_some(advice),
     }
 }
 
@@ -242,8 +242,8 @@
     } else {
         rng.random_range(0.2..1.9)
     };
-    let tasks = truncate(queue.width * factor).max(1);
-    u32::try_from(tasks).unwrap_or(1).min(queue.widest)
+    let tasks = truncate(queue.mean_width * factor).max(1);
+    u32::try_from(tasks).unwrap_or(1).min(queue.max_width)
 }
 
 #[expect(clippy::cast_precision_loss, reason = "numbers here are small")]
--- a/ragwortwick-emulator/src/simulation.rs
+++ b/ragwortwick-emulator/src/simulation.rs
@@ -163,7 +163,7 @@
         let racks = options.workers.div_ceil(options.workers_per_rack.max(1));
         let arrivals = Arrivals::draw(options.seed, &options.workload, racks).jobs;
         let checkpoint_policy = CheckpointPolicy {
-            is_restored: options.workload.restores,
+            is_restored: options.workload.restores_checkpoints,
             interval_ms: options.limits.checkpoint_ms,
             restore_ms: options.limits.restore_ms,
         };
--- a/ragwortwick-emulator/src/workload.rs
+++ b/ragwortwick-emulator/src/workload.rs
@@ -14,7 +14,8 @@
 #[serde(deny_unknown_fields)]
 pub struct Workload {
     /// Description of the workload.
-    pub about: String,
+    #[serde(rename = "about")]
+    pub description: String,
     /// Capacity of each worker.
     pub capacity: Resources,
     /// Speeds of the workers in per cent, assigned round-robin.
@@ -22,20 +23,24 @@
     /// Whether a start from a checkpoint skips the work that was saved.
     ///
     /// The seeds kept as regression tests were found with this disabled.
-    pub restores: bool,
+    #[serde(rename = "restores")]
+    pub restores_checkpoints: bool,
     /// Duration of a stop.
     pub stop_ms: u64,
     /// Share of all accelerators that each customer is guaranteed.
     pub guaranteed_shares: Vec<f64>,
     /// Period in which jobs are submitted.
-    pub for_ms: DurationMs,
+    #[serde(rename = "for_ms")]
+    pub duration_ms: DurationMs,
     /// Share of jobs that are cancelled some time after their acceptance.
-    pub cancelled: f64,
+    #[serde(rename = "cancelled")]
+    pub cancelled_share: f64,
     /// Share of runs that fail, among jobs that can complete.
-    pub failing: f64,
+    #[serde(rename = "failing")]
+    pub failing_share: f64,
     /// Share of jobs with a task that crashes each worker that starts it.
-    #[serde(default)]
-    pub crashing: f64,
+    #[serde(rename = "crashing", default)]
+    pub crashing_share: f64,
     /// Periods with a higher arrival rate.
     pub bursts: Vec<Burst>,
     /// Faults that are part of the workload, in addition to drawn ones.
@@ -53,9 +58,11 @@
     /// When it begins.
     pub at_ms: u64,
     /// How long it lasts.
-    pub for_ms: u64,
+    #[serde(rename = "for_ms")]
+    pub duration_ms: u64,
     /// Factor on the arrival rate.
-    pub times: f64,
+    #[serde(rename = "times")]
+    pub rate_factor: f64,
 }
 
 /// `QueueWorkload` describes the arrival rate and the jobs of one queue.
@@ -65,7 +72,8 @@
     /// Name of the queue.
     pub name: String,
     /// Arrival rate in jobs per second.
-    pub per_s: f64,
+    #[serde(rename = "per_s")]
+    pub arrivals_per_s: f64,
     /// Priority; 0 is the highest.
     pub priority: u32,
     /// Number of failed runs of a task after which its job fails.
@@ -83,35 +91,47 @@
     /// Numbers of accelerators per task, of which each step draws one.
     pub accelerators: Vec<u64>,
     /// Mean number of tasks of a step.
-    pub width: f64,
+    #[serde(rename = "width")]
+    pub mean_width: f64,
     /// Largest number of tasks of a step.
-    pub widest: u32,
+    #[serde(rename = "widest")]
+    pub max_width: u32,
     /// Sigma of the log-normal width; zero draws uniformly between 0.2 and 1.9 times the mean.
     pub width_sigma: f64,
     /// Mean duration of a task.
-    pub work_ms: f64,
+    #[serde(rename = "work_ms")]
+    pub mean_work_ms: f64,
     /// Range of the ratio of an estimate to the true duration.
     pub estimate_factors: [f64; 2],
     /// Sigma of a log-normal ratio, used instead of the range; zero to use the range.
     pub estimate_sigma: f64,
     /// Share of steps whose tasks form a gang.
-    pub gang: f64,
+    #[serde(rename = "gang")]
+    pub gang_share: f64,
     /// Share of gangs that prefer a single rack.
-    pub same_rack: f64,
+    #[serde(rename = "same_rack")]
+    pub same_rack_share: f64,
     /// Largest number of accelerators of a gang that prefers a single rack.
-    pub most_in_rack: u64,
+    #[serde(rename = "most_in_rack")]
+    pub max_in_rack: u64,
     /// Share of jobs with a second step that waits for the first.
-    pub second_step: f64,
+    #[serde(rename = "second_step")]
+    pub second_step_share: f64,
     /// Share of steps that save checkpoints.
-    pub saves: f64,
+    #[serde(rename = "saves")]
+    pub checkpointing_share: f64,
     /// Share of steps that require a label.
-    pub labelled: f64,
+    #[serde(rename = "labelled")]
+    pub labelled_share: f64,
     /// Share of steps limited to two tasks per worker.
-    pub spread_out: f64,
+    #[serde(rename = "spread_out")]
+    pub spread_share: f64,
     /// Share of jobs that repeat on a schedule.
-    pub timed: f64,
+    #[serde(rename = "timed")]
+    pub scheduled_share: f64,
     /// Whether its jobs run only where an advisor allows them.
-    pub advised: bool,
+    #[serde(rename = "advised")]
+    pub needs_advice: bool,
 }
 
 /// `TaskDemand` is the demand of a task besides accelerators.
@@ -134,9 +154,9 @@
 impl Workload {
     /// `with_arrival_rates` sets the arrival rates of the queues, in order.
     #[must_use]
-    pub fn with_arrival_rates(mut self, per_s: &[f64]) -> Self {
-        for (queue, &per_s) in self.queues.iter_mut().zip(per_s) {
-            queue.per_s = per_s;
+    pub fn with_arrival_rates(mut self, rates_per_s: &[f64]) -> Self {
+        for (queue, &per_s) in self.queues.iter_mut().zip(rates_per_s) {
+            queue.arrivals_per_s = per_s;
         }
         self
     }
@@ -145,7 +165,7 @@
     #[must_use]
     pub fn scaled(mut self, factor: f64) -> Self {
         for queue in &mut self.queues {
-            queue.per_s *= factor;
+            queue.arrivals_per_s *= factor;
         }
         self
     }
@@ -154,7 +174,7 @@
     #[must_use]
     pub fn with_advisor(mut self) -> Self {
         for queue in self.queues.iter_mut().filter(|queue| queue.priority == 1) {
-            queue.advised = true;
+            queue.needs_advice = true;
         }
         self
     }
@@ -164,9 +184,9 @@
         let mut factor = 1.0;
         for burst in self.bursts.iter().filter(|burst| burst.queue == queue) {
             let start = crate::arrivals::as_float(burst.at_ms);
-            let span = crate::arrivals::as_float(burst.for_ms);
+            let span = crate::arrivals::as_float(burst.duration_ms);
             if (start..start + span).contains(&at_ms) {
-                factor *= burst.times;
+                factor *= burst.rate_factor;
             }
         }
         factor
