--- a/ragwortwick-emulator/examples/emulate.rs
+++ b/ragwortwick-emulator/examples/emulate.rs
@@ -33,7 +33,7 @@
     }
     let is_advised = arguments.contains("--advised");
     let base = match read_workload(&mut arguments) {
-        Ok(load) => load,
+        Ok(workload) => workload,
         Err(error) => {
             eprintln!("{error}\n{HELP}");
             return ExitCode::from(2);
--- a/ragwortwick-emulator/src/simulation.rs
+++ b/ragwortwick-emulator/src/simulation.rs
@@ -68,7 +68,7 @@
     pub completed: usize,
     /// Runs started.
     pub starts: u64,
-    /// Runs stopped on order.
+    /// Runs stopped by an order.
     pub stopped: u64,
     /// Runs whose lease expired.
     pub expired: u64,
