--- a/ragwortwick-area/src/advice.rs
+++ b/ragwortwick-area/src/advice.rs
@@ -25,7 +25,7 @@
 /// waits up to 300 ms for those before it.
 const TICKET_MARGIN_MS: DurationMs = DurationMs(600);
 
-/// The margin is at most the validity divided by this, or tickets with a short validity could never be used.
+/// The margin is at most the validity divided by this; otherwise short-lived tickets could never be used.
 const MARGIN_DIVISOR: u64 = 4;
 
 /// `AdvisorState` holds the advisor's replies about waiting steps, and the request in flight.
@@ -79,7 +79,7 @@
 }
 
 impl AdvisorState {
-    /// Discards a ticket that a worker rejected, whatever its remaining validity.
+    /// Discards a ticket that a worker refused, whatever its remaining validity.
     pub(crate) fn discard_ticket(&mut self, worker: &WorkerName, task: &TaskId) {
         if let Some(step) = self.steps.get_mut(&task.step_id()) {
             step.tickets.remove(worker);
@@ -108,7 +108,8 @@
         self.workers_with(candidate, |ticket| ticket.is_usable(now))
     }
 
-    /// Returns the workers that may run the candidate, with a usable or a renewed ticket; `None` if any may.
+    /// Returns the workers that the advisor permits for the candidate, also those whose ticket has expired;
+    /// `None` if any worker may run it.
     pub(crate) fn permitted_workers(&self, candidate: &Candidate) -> Option<BTreeSet<WorkerName>> {
         self.workers_with(candidate, |_| true)
     }
@@ -150,8 +151,8 @@
 
     /// Proposes an advice request for a step that could not be placed.
     ///
-    /// Of all proposals in a pass, the one is sent whose step was least recently asked about. Otherwise a
-    /// step that fits nowhere, whatever the advisor replies, would block all other steps.
+    /// Each pass sends the proposal whose step was asked about least recently. Otherwise a step that fits
+    /// nowhere, whatever the advisor replies, would block the requests of all other steps.
     pub(crate) fn propose_advice_request(
         &mut self,
         now: TimeMs,
@@ -244,8 +245,9 @@
     }
 }
 
-/// Returns the workers to ask about: those where a task fits, first the ones with an expired ticket, then by
-/// rack, the one with the most free capacity first, so that a gang needs few requests.
+/// Returns the workers to ask about: those where a task fits. Workers with an expired ticket come first, then
+/// workers on the rack of the step's data, then racks with the most free capacity, so that a gang needs few
+/// requests.
 ///
 /// For steps that may preempt others, workers without free capacity come last.
 fn workers_to_query(
@@ -258,9 +260,9 @@
     let mut ranked = Vec::new();
     for range in rack_ranges(slots) {
         let rack_slots = &slots[range];
-        let free_in_rack: u64 = rack_slots.iter().map(|slot| slot.fits(spec)).sum();
+        let free_in_rack: u64 = rack_slots.iter().map(|slot| slot.task_capacity(spec)).sum();
         for slot in rack_slots {
-            let has_capacity = slot.fits(spec) > 0;
+            let has_capacity = slot.task_capacity(spec) > 0;
             let is_candidate = slot.has_required_label(spec) && (has_capacity || can_preempt);
             let ticket = known.and_then(|step| step.tickets.get(&slot.worker));
             let is_refused = known.is_some_and(|step| step.refused.contains(&slot.worker));
@@ -272,7 +274,7 @@
                 ticket.is_none(),
                 slot.is_remote(spec),
                 Reverse(free_in_rack),
-                Reverse(slot.fits(spec)),
+                Reverse(slot.task_capacity(spec)),
             );
             ranked.push((rank, slot.worker.clone()));
         }
--- a/ragwortwick-area/src/candidates.rs
+++ b/ragwortwick-area/src/candidates.rs
@@ -181,8 +181,8 @@
     }
 }
 
-/// Sorts steps for which others were preempted first, then guaranteed steps, oldest first, then by value per
-/// accelerator time still needed.
+/// Sorts the candidates: first steps for which others were preempted, then guaranteed steps, oldest first,
+/// then the rest by value per accelerator-second of remaining work.
 pub(crate) fn sort_candidates(candidates: &mut [Candidate]) {
     candidates.sort_by(|a, b| {
         let preempted_at =
--- a/ragwortwick-area/src/packing.rs
+++ b/ragwortwick-area/src/packing.rs
@@ -22,11 +22,11 @@
     pub(crate) overcommitted: Resources,
     /// Total accelerators of the worker.
     pub(crate) capacity_accelerators: u64,
-    /// Failed runs of different jobs in a row; slots with fewer of them are preferred.
+    /// Failed runs since the last run that completed there; slots with fewer of them are preferred.
     pub(crate) consecutive_failures: u32,
     /// Speed of the worker relative to others.
     pub(crate) speed: Speed,
-    /// Whether it is headroom for urgent work, which only work that is cheap to stop may use.
+    /// Whether it is headroom for urgent work; other work may use it only if it is cheap to stop.
     pub(crate) is_headroom: bool,
     /// Whether no run was started there recently.
     pub(crate) has_no_recent_start: bool,
@@ -36,7 +36,7 @@
 
 impl Slot {
     /// Returns how many tasks fit by resources alone.
-    pub(crate) fn fits(&self, spec: &StepSpec) -> u64 {
+    pub(crate) fn task_capacity(&self, spec: &StepSpec) -> u64 {
         if self.is_closed || !self.overcommitted.is_zero() {
             return 0;
         }
@@ -75,7 +75,7 @@
         if !self.has_required_label(spec) || !constraints.permits(self) {
             return 0;
         }
-        let fits = self.fits(spec);
+        let task_capacity = self.task_capacity(spec);
         match spec.max_per_worker {
             Some(limit) => {
                 let placed = constraints
@@ -83,9 +83,9 @@
                     .get(&self.worker)
                     .copied()
                     .unwrap_or(0);
-                fits.min(u64::from(limit.saturating_sub(placed)))
+                task_capacity.min(u64::from(limit.saturating_sub(placed)))
             }
-            None => fits,
+            None => task_capacity,
         }
     }
 
@@ -146,7 +146,7 @@
             && allowed.is_none_or(|allowed| allowed.contains(&slot.worker))
     }
 
-    /// Ranks a worker's speed, the preferred one first.
+    /// Returns the rank of a worker's speed; lower ranks are preferred.
     fn speed_rank(&self, speed: Speed) -> u8 {
         match speed {
             Speed::VerySlow => 2,
--- a/ragwortwick-area/src/placement.rs
+++ b/ragwortwick-area/src/placement.rs
@@ -13,17 +13,16 @@
 use crate::pool_capacity::PoolCapacity;
 use crate::reservation::Reservations;
 
-/// How long before its start deadline a guaranteed job may be placed on any worker, even where it runs
-/// slower.
+/// How long before its start deadline a guaranteed job may be placed on any rack, even where it runs slower.
 const RELAX_LOCALITY_BEFORE_MS: DurationMs = DurationMs(1_000);
 
 impl Coordinator {
     /// Places all tasks that fit, the most urgent steps first.
     pub(crate) fn run_placement_pass(&mut self, now: Now) {
         if !self.can_start_work(now.steady) || !self.has_fresh_workers(now.steady) {
-            // A scheduled time stays in the past until a pass has run: a wakeup at that time would make the
-            // thread spin. The missing lease or worker list arrives as an event, which requests the next
-            // pass.
+            // Only a full pass updates the scheduled time. Once that time has passed, waking up for it would
+            // make the event loop spin. The missing lease or worker list arrives as an event, which requests
+            // the next pass.
             self.next_scheduled_at = None;
             return;
         }
@@ -54,10 +53,10 @@
         others: &[&Candidate],
         capacity: &mut PoolCapacity,
     ) -> BTreeSet<WorkerName> {
-        let mut failed: Vec<(StepSpec, usize)> = Vec::new();
+        let mut unplaced: Vec<(StepSpec, usize)> = Vec::new();
         let mut reservations = Reservations::new(capacity.slots.len());
         for candidate in others {
-            if self.try_place_step(now, candidate, capacity, &mut failed) {
+            if self.try_place_step(now, candidate, capacity, &mut unplaced) {
                 continue;
             }
             if self.release_reservation_for(now, candidate, &mut capacity.slots, &mut reservations)
@@ -71,13 +70,13 @@
         reservations.workers
     }
 
-    /// Places as many tasks of a step as fit; returns whether none is left.
+    /// Places as many tasks of a step as fit; returns whether no waiting task is left.
     fn try_place_step(
         &mut self,
         now: TimeMs,
         candidate: &Candidate,
         capacity: &mut PoolCapacity,
-        failed: &mut Vec<(StepSpec, usize)>,
+        unplaced: &mut Vec<(StepSpec, usize)>,
     ) -> bool {
         let Some(key) = self.placement_key_of(candidate) else {
             return true;
@@ -89,8 +88,8 @@
         // shrinks during a pass. This does not hold for steps that are limited to certain workers.
         let is_limited_to_workers = key.0.max_per_worker.is_some()
             || self.advisor_timing(candidate).is_some()
-            || self.has_isolated_starts(candidate);
-        if !is_limited_to_workers && failed.contains(&key) {
+            || self.has_tasks_needing_isolation(candidate);
+        if !is_limited_to_workers && unplaced.contains(&key) {
             return false;
         }
         if self.place_step(now, candidate, capacity) {
@@ -98,7 +97,7 @@
         }
         self.propose_advice_request(now, candidate, &capacity.slots);
         if !is_limited_to_workers {
-            failed.push(key);
+            unplaced.push(key);
         }
         false
     }
@@ -117,14 +116,14 @@
     }
 
     /// Whether a task of the step needs an isolated start.
-    fn has_isolated_starts(&self, candidate: &Candidate) -> bool {
+    fn has_tasks_needing_isolation(&self, candidate: &Candidate) -> bool {
         let job = self.jobs.get(&candidate.job_id);
         let step = job.and_then(|job| job.step(candidate.occurrence, candidate.step));
         let mut tasks = step.into_iter().flat_map(|step| &step.tasks);
         tasks.any(|task| task.crash_history.needs_isolation())
     }
 
-    /// Places the waiting tasks of a step; returns whether none is left.
+    /// Places the waiting tasks of a step that fit; returns whether no waiting task is left.
     pub(crate) fn place_step(
         &mut self,
         now: TimeMs,
--- a/ragwortwick-area/src/preemption.rs
+++ b/ragwortwick-area/src/preemption.rs
@@ -123,8 +123,8 @@
                 // Otherwise the victim would be placed first in the next pass, in the capacity just freed.
                 self.preempted_for.remove(&victim.unit.step);
                 self.stop_victim(now, victim, &candidate.job_id);
-                for &(index, need) in &victim.freed {
-                    after_stops[index].release(need);
+                for &(index, freed) in &victim.freed {
+                    after_stops[index].release(freed);
                 }
             }
             victims.retain(|victim| {
@@ -145,7 +145,7 @@
         Some((job.spec(candidate.step)?.clone(), count))
     }
 
-    /// Returns all units that guaranteed work may preempt: those of lower priority and borrowed shares.
+    /// Returns all units that guaranteed work may preempt: those of lower priority, and the borrowers.
     fn preemptible(&self, now: TimeMs, slot_index: &SlotIndex) -> Vec<Victim> {
         let lower = self.units(now, slot_index, |allocation| allocation.priority > 0);
         let mut victims: Vec<Victim> = lower.into_iter().map(|(_, victim)| victim).collect();
@@ -153,8 +153,8 @@
         victims
     }
 
-    /// Urgent runs beyond their customer's guaranteed share, youngest first; guaranteed work may reclaim
-    /// them.
+    /// Returns the urgent units beyond their customer's guaranteed share, youngest first; guaranteed work may
+    /// reclaim their capacity.
     fn borrowers(&self, now: TimeMs, slot_index: &SlotIndex) -> Vec<Victim> {
         let mut by_customer: BTreeMap<CustomerName, Vec<(TimeMs, Victim)>> = BTreeMap::new();
         for (placed_at, victim) in
--- a/ragwortwick-area/src/preemption_plan.rs
+++ b/ragwortwick-area/src/preemption_plan.rs
@@ -106,11 +106,10 @@
         for (number, victim) in victims.iter().enumerate() {
             for (index, _) in &victim.freed {
                 if range.contains(index) {
-                    let victims_by_slot: &mut Vec<usize> =
-                        &mut victims_by_slot[index - range.start];
+                    let on_slot: &mut Vec<usize> = &mut victims_by_slot[index - range.start];
                     // Several members of a gang may run on one worker.
-                    if victims_by_slot.last() != Some(&number) {
-                        victims_by_slot.push(number);
+                    if on_slot.last() != Some(&number) {
+                        on_slot.push(number);
                     }
                 }
             }
@@ -232,10 +231,10 @@
 
     fn stop(&mut self, victim: usize) {
         self.is_stopped[victim] = true;
-        for (index, need) in &self.victims[victim].freed {
+        for (index, freed) in &self.victims[victim].freed {
             if self.range.contains(index) {
                 let slot = &mut self.slots[index - self.range.start];
-                slot.release(*need);
+                slot.release(*freed);
                 self.costs[index - self.range.start] = SlotCost::Unknown;
             }
         }
@@ -245,7 +244,7 @@
         let freed = self.victims[victim].freed.iter();
         freed
             .filter(|(at, _)| *at == self.range.start + index)
-            .fold(Resources::default(), |sum, (_, need)| sum.plus(*need))
+            .fold(Resources::default(), |sum, (_, freed)| sum.plus(*freed))
     }
 }
 
--- a/ragwortwick-area/src/reservation.rs
+++ b/ragwortwick-area/src/reservation.rs
@@ -17,7 +17,7 @@
 use crate::packing::{PlacementConstraints, Slot, rack_ranges};
 use crate::pool_capacity::PoolCapacity;
 
-/// Largest share of the pool's workers, in per cent, with reservations: reserved capacity is idle.
+/// Maximum share of the pool's workers, in per cent, with reservations, since reserved capacity is idle.
 const MAX_RESERVED_PERCENT: usize = 35;
 
 /// Weight, in per cent, of the remaining time of runs on workers that the last pass reserved. Where many runs
@@ -71,7 +71,7 @@
         let without_reservation = |slots: &[Slot], index: usize| {
             let reserved = self.reserved.iter().filter(|(at, _)| *at == index);
             let mut slot = slots[index].clone();
-            slot.free = reserved.fold(slot.free, |free, (_, need)| free.plus(*need));
+            slot.free = reserved.fold(slot.free, |free, (_, reserved)| free.plus(*reserved));
             slot
         };
         let mut indexes = self.reserved.iter().map(|(index, _)| *index);
@@ -248,7 +248,7 @@
     })
 }
 
-/// Returns the times at which one task fits on a slot, two tasks, and so on.
+/// Returns the times until one task fits on a slot, two tasks, and so on.
 fn availability_times(
     slot: &Slot,
     forecast: &Forecast,
@@ -266,9 +266,9 @@
             times.push(at);
         }
         match releases.next() {
-            Some((released_at, need)) if times.len() < count => {
+            Some((released_at, resources)) if times.len() < count => {
                 at = *released_at;
-                slot.release(*need);
+                slot.release(*resources);
             }
             _ => return times,
         }
--- a/ragwortwick-area/src/value.rs
+++ b/ragwortwick-area/src/value.rs
@@ -9,7 +9,7 @@
 /// A job that ends later than this many times its latency objective has no value left.
 const MAX_LATENESS_FACTOR: f64 = 3.0;
 
-/// Share of the value of a job that is later than that; the client still expects its result.
+/// Share of its value by which a job that is later than that still ranks, as the client expects its result.
 const TOO_LATE_VALUE_SHARE: f64 = 0.01;
 
 /// Cores that one accelerator counts for, as a float.
@@ -33,7 +33,7 @@
 }
 
 impl Coordinator {
-    /// Computes the value of one occurrence of a job per accelerator time that it still needs.
+    /// Computes the value and the value density of one occurrence of a job.
     pub(crate) fn occurrence_value(
         &self,
         now: TimeMs,
@@ -59,7 +59,7 @@
         };
         let remaining = remaining_work(job, steps).max(1.0);
         let total = total_work(job).max(1.0);
-        // The value grows with the whole job's work, relative to the queue's mean, at seven tenths of it.
+        // Three tenths of the value are fixed, seven tenths grow with the job's work relative to the queue's mean.
         let mean = self.mean_work(&job.record.queue).unwrap_or(total);
         let value = weights.of_priority(policy.priority) * (0.3 + 0.7 * total / mean).min(4.0);
         OccurrenceValue {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Mean value of a core-second: total value of the submitted jobs over their total work in cores.
+    /// Mean value of a core-second: total value of the submitted jobs over their total core-seconds.
     ///
     /// Lost work needs the same capacity a second time, which other work could have used.
     pub(crate) fn value_per_core_second(&self) -> f64 {
--- a/ragwortwick-area/tests/capacity.rs
+++ b/ragwortwick-area/tests/capacity.rs
@@ -45,7 +45,7 @@
     assert_eq!(
         rig.stops().len(),
         1,
-        "the unanswered start has to be stopped"
+        "a stop resolves whether the start arrived"
     );
 }
 
--- a/ragwortwick-area/tests/displacement.rs
+++ b/ragwortwick-area/tests/displacement.rs
@@ -21,7 +21,8 @@
 }
 
 /// Guards against preemption that loses work: patient tasks fill all workers, and half of them save
-/// checkpoints. A stop saves one more, so stopping that half loses nothing, though it has run for longer.
+/// checkpoints. A stop saves another checkpoint, so stopping that half loses nothing, though it has run for
+/// longer.
 #[test]
 fn verify_work_that_saves_checkpoints_gives_way_first() {
     let mut rig = pool();
--- a/ragwortwick-area/tests/headroom.rs
+++ b/ragwortwick-area/tests/headroom.rs
@@ -42,7 +42,7 @@
     starts
 }
 
-/// Guards against work without checkpoints that is restarted again and again in capacity urgent gangs need.
+/// Guards against repeated restarts of work without checkpoints in capacity that urgent gangs need.
 #[test]
 fn verify_work_that_saves_nothing_leaves_headroom_to_urgent_gangs() {
     let mut rig = pool();
--- a/ragwortwick-area/tests/speed.rs
+++ b/ragwortwick-area/tests/speed.rs
@@ -39,7 +39,7 @@
     rig
 }
 
-/// Guards against an urgent gang that is late for one member on a slow worker while fast ones are free.
+/// Guards against an urgent gang that is late because of one slow worker while fast ones are free.
 #[test]
 fn verify_an_urgent_gang_goes_to_fast_workers() {
     let mut rig = pool_with_speed_samples();
