--- a/ragwortwick-daemon/src/metrics/state.rs
+++ b/ragwortwick-daemon/src/metrics/state.rs
@@ -175,7 +175,7 @@
                 .guarantee_short_cells
                 .with_label_values(&[zone, customer.as_str()])
                 .set(f64::from(*cells_short)),
-            ZoneNotice::WorkerJudged { .. } | ZoneNotice::Fenced { .. } => {}
+            ZoneNotice::WorkerHealthChanged { .. } | ZoneNotice::Fenced { .. } => {}
         }
     }
 
--- a/ragwortwick-daemon/src/zone/notices.rs
+++ b/ragwortwick-daemon/src/zone/notices.rs
@@ -52,7 +52,7 @@
             customer = customer,
             cells_short = cells_short
         ),
-        ZoneNotice::WorkerJudged {
+        ZoneNotice::WorkerHealthChanged {
             worker,
             state,
             reason,
--- a/ragwortwick-daemon/src/zone/zone_duty.rs
+++ b/ragwortwick-daemon/src/zone/zone_duty.rs
@@ -167,7 +167,7 @@
             reply,
         } = answer;
         let Some(reply) = reply else {
-            self.place(now, ZoneEvent::WorkerSilent { worker, order });
+            self.place(now, ZoneEvent::OrderTimedOut { worker, order });
             return;
         };
         if reply.highest_epoch > epoch {
@@ -303,7 +303,9 @@
                 drop(answer.send(status));
             }
             ZoneDutyEvent::Why(job_id, answer) => {
-                let why = self.epoch.and_then(|_| self.placer.why(now, &job_id));
+                let why = self
+                    .epoch
+                    .and_then(|_| self.placer.explain_job(now, &job_id));
                 drop(answer.send(why));
             }
         }
@@ -314,7 +316,7 @@
             self.offer_records(now);
             for unsent in std::mem::take(&mut self.unsent) {
                 let UnsentOrder { worker, order } = unsent;
-                self.place(now, ZoneEvent::WorkerSilent { worker, order });
+                self.place(now, ZoneEvent::OrderTimedOut { worker, order });
             }
         }
         if self.epoch.is_some() && self.placer.next_wakeup().is_some_and(|at| at <= now) {
--- a/ragwortwick-policy/src/zone/messages.rs
+++ b/ragwortwick-policy/src/zone/messages.rs
@@ -50,11 +50,11 @@
         /// Its answer.
         reply: WorkerReply,
     },
-    /// An order got no answer in time; it may or may not have been carried out.
-    WorkerSilent {
+    /// An order was not sent or got no reply in time; the worker may or may not have executed it.
+    OrderTimedOut {
         /// The worker.
         worker: WorkerName,
-        /// The order without answer.
+        /// The order without a reply.
         order: OrderId,
     },
     /// A job of this zone is in the store, new or found again; repeats of an event are harmless.
@@ -127,13 +127,13 @@
         /// Cells that do not fit.
         cells_short: u32,
     },
-    /// A worker is left out on evidence, or tried again.
-    WorkerJudged {
+    /// A worker was quarantined because of failures, put on trial or trusted again.
+    WorkerHealthChanged {
         /// The worker.
         worker: WorkerName,
         /// Its new state.
         state: &'static str,
-        /// The evidence.
+        /// The failures or the success that led to the state.
         reason: String,
     },
     /// A worker saw a higher epoch: another host owns the zone.
--- a/ragwortwick-policy/src/zone/orders.rs
+++ b/ragwortwick-policy/src/zone/orders.rs
@@ -96,7 +96,7 @@
         }
     }
 
-    pub(super) fn on_silent(&mut self, now: TimeMs, _worker: &WorkerName, order: OrderId) {
+    pub(super) fn on_order_timed_out(&mut self, now: TimeMs, _worker: &WorkerName, order: OrderId) {
         let Some(pending) = self.orders.remove(&order) else {
             return;
         };
@@ -122,7 +122,7 @@
                 self.abort(now, &gang_id, EndCause::Refused("no answer".to_owned()));
             }
             // The member may run. Asking again is harmless, and only an answer settles it.
-            OrderKind::Commit(gang_id) => self.on_commit_silent(now, index, &gang_id),
+            OrderKind::Commit(gang_id) => self.on_commit_timed_out(now, index, &gang_id),
             OrderKind::Release(gang_id) | OrderKind::Stop(gang_id) => {
                 self.repeat_stop(now, index, &gang_id);
             }
@@ -213,7 +213,7 @@
         self.abort(now, gang_id, cause);
     }
 
-    fn on_commit_silent(&mut self, now: TimeMs, index: usize, gang_id: &GangId) {
+    fn on_commit_timed_out(&mut self, now: TimeMs, index: usize, gang_id: &GangId) {
         self.extend_lease(index, gang_id, now + self.options.task_lease_ms);
         let Some(gang) = self.gangs.get(gang_id) else {
             return;
--- a/ragwortwick-policy/src/zone/placer.rs
+++ b/ragwortwick-policy/src/zone/placer.rs
@@ -139,7 +139,9 @@
                 order,
                 reply,
             } => self.on_reply(now, &worker, order, &reply),
-            ZoneEvent::WorkerSilent { worker, order } => self.on_silent(now, &worker, order),
+            ZoneEvent::OrderTimedOut { worker, order } => {
+                self.on_order_timed_out(now, &worker, order);
+            }
             ZoneEvent::JobFound(record) => self.on_job_found(now, record),
             ZoneEvent::JobCancelled(job_id) => self.on_job_cancelled(now, &job_id),
             ZoneEvent::JobRecorded { job_id, attempt } => {
@@ -185,9 +187,9 @@
             && self.ledger.listed_pool().count(size) >= shape.cells
     }
 
-    /// `why` explains in words why a job waits or where it runs; `None` for an unknown job.
+    /// `explain_job` states why a job waits or where it runs; `None` for an unknown job.
     #[must_use]
-    pub fn why(&self, now: TimeMs, job: &JobId) -> Option<String> {
+    pub fn explain_job(&self, now: TimeMs, job: &JobId) -> Option<String> {
         self.explain(now, job)
     }
 
--- a/ragwortwick-policy/src/zone/quarantine.rs
+++ b/ragwortwick-policy/src/zone/quarantine.rs
@@ -64,7 +64,7 @@
         let state = entry.state();
         self.is_assign_due = true;
         self.is_place_due = true;
-        self.notice(ZoneNotice::WorkerJudged {
+        self.notice(ZoneNotice::WorkerHealthChanged {
             worker,
             state,
             reason: reason.to_owned(),
--- a/ragwortwick-policy/tests/fake_zone/mod.rs
+++ b/ragwortwick-policy/tests/fake_zone/mod.rs
@@ -370,7 +370,7 @@
                     reply,
                 },
             ),
-            None => self.later(SILENT_MS, ZoneEvent::WorkerSilent { worker, order }),
+            None => self.later(SILENT_MS, ZoneEvent::OrderTimedOut { worker, order }),
         }
     }
 
