--- a/ragwortwick-emulator/src/orders.rs
+++ b/ragwortwick-emulator/src/orders.rs
@@ -132,7 +132,7 @@
 
     #[expect(
         clippy::too_many_arguments,
-        reason = "these are the fields of a start order"
+        reason = "an order to start is made of just these parts"
     )]
     pub(crate) fn start_run(
         &mut self,
