--- a/ragwortwick-daemon/src/area/job_api.rs
+++ b/ragwortwick-daemon/src/area/job_api.rs
@@ -93,7 +93,7 @@
     queue: Queue,
     customer: CustomerName,
     /// The path after the queue's prefix.
-    rest: String,
+    path_suffix: String,
     deadline: TimeMs,
     max_body_bytes: usize,
 }
@@ -104,11 +104,11 @@
         Ok(request) => request,
         Err(refusal) => return refuse(api, state, refusal),
     };
-    if request.rest.is_empty() && method == Method::GET {
+    if request.path_suffix.is_empty() && method == Method::GET {
         let pending = api.writer.replica.count_pending(&request.queue_name);
         return json_bytes(state, encode_pending_count(pending));
     }
-    let Some(job_id) = parse_job_id(&request.rest) else {
+    let Some(job_id) = parse_job_id(&request.path_suffix) else {
         let expected = format!("expected {JOB_ID_DIGITS} hexadecimal digits");
         return RequestError::new(StatusCode::BAD_REQUEST, "job_id", expected).into_response(state);
     };
@@ -182,7 +182,7 @@
         queue_name: queue_name.clone(),
         queue: queue.clone(),
         customer,
-        rest: uri.path()[queue.path_prefix.len()..].to_owned(),
+        path_suffix: uri.path()[queue.path_prefix.len()..].to_owned(),
         deadline: arrived_at + deadline_ms - RESPONSE_MARGIN_MS,
         max_body_bytes: desired.max_body_bytes.unwrap_or(DEFAULT_BODY_BYTES),
     })
