--- a/ragwortwick-daemon/src/area/coordinator_handler.rs
+++ b/ragwortwick-daemon/src/area/coordinator_handler.rs
@@ -8,8 +8,8 @@
 
 use crate::{Clock, EventHandler, EventLoopSender, SendError, unix_now};
 
-/// Delay before an event that the full ring rejected is offered again.
-const RING_FULL_DELAY: Duration = Duration::from_millis(2);
+/// Delay before an event that the full queue rejected is sent again.
+const QUEUE_FULL_DELAY: Duration = Duration::from_millis(2);
 
 /// `EventSender` sends events from the I/O runtime to the coordinator, without blocking a runtime thread.
 #[derive(Clone, Debug)]
@@ -25,7 +25,7 @@
                 Err(SendError(_)) if self.0.is_closed() => return false,
                 Err(SendError(rejected)) => event = rejected,
             }
-            tokio::time::sleep(RING_FULL_DELAY).await;
+            tokio::time::sleep(QUEUE_FULL_DELAY).await;
         }
     }
 }
--- a/ragwortwick-daemon/src/area/settings.rs
+++ b/ragwortwick-daemon/src/area/settings.rs
@@ -92,7 +92,7 @@
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "negative values become zero, and values are hours at most"
+    reason = "a negative span counts as none, and spans are hours at most"
 )]
 pub(super) fn seconds_to_ms(seconds: f64) -> DurationMs {
     DurationMs((seconds.max(0.0) * 1_000.0) as u64)
--- a/ragwortwick-daemon/src/area/term.rs
+++ b/ragwortwick-daemon/src/area/term.rs
@@ -22,8 +22,8 @@
 use super::worker_feed::{WorkerFeed, read_workers};
 use crate::{Clock, EventLoop, unix_now};
 
-/// Length of the coordinator's event ring: the events of several placement passes at the planned size.
-const RING_LENGTH: usize = 16_384;
+/// Length of the coordinator's event queue: the events of several placement passes at the planned size.
+const QUEUE_LENGTH: usize = 16_384;
 
 /// Interval between lease renewals; the lease expires only after several of them fail in a row.
 const RENEWAL_INTERVAL_MS: DurationMs = DurationMs(400);
@@ -104,7 +104,7 @@
         receiver: handler_receiver,
         handler: None,
     };
-    let event_loop = EventLoop::spawn("coordinator", RING_LENGTH, context.clock, deferred)
+    let event_loop = EventLoop::spawn("coordinator", QUEUE_LENGTH, context.clock, deferred)
         .map_err(|error| StoreError::Refused(error.to_string()))?;
     let events = EventSender(event_loop.sender());
     let Some(jobs) = subscribe(context, &events).await else {
@@ -272,7 +272,7 @@
     reason
 }
 
-/// `DeferredHandler` waits for its coordinator; events that arrive before it stay in the ring.
+/// `DeferredHandler` waits for its coordinator; events that arrive before it stay in the queue.
 struct DeferredHandler {
     receiver: std::sync::mpsc::Receiver<CoordinatorHandler>,
     handler: Option<CoordinatorHandler>,
