--- a/ragwortwick-area/src/accounting.rs
+++ b/ragwortwick-area/src/accounting.rs
@@ -1,4 +1,4 @@
-//! Accounting of one job under one coordinator: how long it spent in each phase, and the work it lost.
+//! Accounting of one job under one coordinator: how long it spent in each stage, and the work it lost.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -64,7 +64,7 @@
     pub core_ms: u64,
 }
 
-/// Phase of a job that its time is counted for.
+/// Stage of a job that its time is counted for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
     /// No run has been placed yet.
@@ -81,7 +81,7 @@
 
 /// `JobAccounting` holds how a job spent its time under one coordinator.
 ///
-/// The four phases follow one another; their times add up to the time from acceptance, or from the start
+/// The four stages follow one another; their times add up to the time from acceptance, or from the start
 /// of the term, to the end. For a job with a schedule, `requeued_ms` includes the time between occurrences.
 #[common]
 pub struct JobAccounting {
@@ -103,7 +103,7 @@
     pub lost_work: BTreeMap<RunEndReason, LostWork>,
     /// The job that preempted it last.
     pub preempted_by: Option<JobId>,
-    /// Longest lost time of a run since the job last had no run placed.
+    /// Longest time that one run lost since the job last had no run placed.
     wasted_ms: DurationMs,
     stage: Stage,
     stage_since: TimeMs,
--- a/ragwortwick-area/src/backoff.rs
+++ b/ragwortwick-area/src/backoff.rs
@@ -1,7 +1,7 @@
 //! Exponential backoff of a job whose starts are refused.
 //!
-//! If every worker refuses a start as it stands, the start would otherwise be sent again with each
-//! placement pass.
+//! If every worker refuses a start because of the order itself, the start would otherwise be sent again with
+//! each placement pass.
 
 use ragwortwick_core::{DurationMs, TimeMs};
 
--- a/ragwortwick-area/src/crashes.rs
+++ b/ragwortwick-area/src/crashes.rs
@@ -1,4 +1,4 @@
-//! Attribution of worker crashes to tasks, and the limit at which a task fails for them.
+//! Attribution of worker crashes to tasks, and the number of crashes at which a task fails.
 //!
 //! A faulty task may crash each worker that starts it, among harmless tasks and workers that are lost for
 //! other reasons. Such a task crashes its workers at one point of its work, mostly right at the start, and
@@ -17,8 +17,8 @@
 /// Age up to which a run counts as starting.
 const STARTING_MS: DurationMs = DurationMs(1_000);
 
-/// Tolerance, beside a quarter of the lower run age, within which two crashes count as at the same point of
-/// a task's work.
+/// Tolerance, in addition to a quarter of the lower run age, within which two crashes count as being at the
+/// same point of a task's work.
 const SAME_POINT_TOLERANCE_MS: DurationMs = DurationMs(250);
 
 /// `CrashHistory` holds the worker crashes that are attributed to one task.
@@ -31,7 +31,8 @@
 }
 
 impl CrashHistory {
-    /// Whether the task has to start alone on its worker, so that no other run is at the same point.
+    /// Whether no other run may start on the worker together with the task, so that only the task is
+    /// starting there.
     pub(crate) fn needs_isolation(self) -> bool {
         self.count > u32::from(self.run_age_ms >= STARTING_MS)
     }
--- a/ragwortwick-area/src/desired.rs
+++ b/ragwortwick-area/src/desired.rs
@@ -1,4 +1,4 @@
-//! The desired state that operators configure: queues, customers and limits.
+//! The desired state that operators configure: queues, customers and the maximum size of a request.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -36,7 +36,7 @@
 /// `Customer` holds the API keys and the guaranteed share of a customer.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Customer {
-    /// API keys of its callers.
+    /// API keys of its clients.
     pub api_keys: Vec<Arc<str>>,
     /// Accelerators that its jobs of priority 0 can always reclaim.
     pub guaranteed_accelerators: u64,
--- a/ragwortwick-area/src/job.rs
+++ b/ragwortwick-area/src/job.rs
@@ -67,7 +67,7 @@
         }
     }
 
-    /// `task_capacity` counts how many tasks with the given demand fit into this amount.
+    /// `task_capacity` returns how many tasks with the given demand fit into this amount.
     #[must_use]
     pub fn task_capacity(self, demand: Self) -> u64 {
         let tasks_by =
@@ -126,12 +126,14 @@
     pub tail_target_ms: Option<DurationMs>,
     /// Whether the tasks are fillers, which use only processor time that other tasks leave unused.
     pub is_filler: bool,
-    /// Maximum number of tasks of a long-running step that the scheduler may have stopped at one time.
+    /// Maximum number of tasks of a long-running step that may be down at one time because the scheduler
+    /// stopped them.
     pub may_miss: Option<u32>,
 }
 
 impl StepSpec {
-    /// `placement_key` keeps what decides where a task fits and clears what differs between similar jobs.
+    /// `placement_key` returns the spec with only the fields that decide where a task fits; estimate, count
+    /// and dependencies differ between similar jobs and are cleared.
     #[must_use]
     pub(crate) fn placement_key(&self) -> Self {
         Self {
@@ -157,7 +159,7 @@
     }
 }
 
-/// Formats in a few characters, for log lines, what decides on the placement of a step's tasks.
+/// Formats the properties that decide where the tasks are placed, in a few characters for log lines.
 impl fmt::Display for StepSpec {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Resources {
@@ -224,11 +226,11 @@
     }
 }
 
-/// `AdvisorTiming` holds how long an answer of the advisor takes and how long its tickets are valid.
+/// `AdvisorTiming` holds how long a reply of the advisor takes and how long its tickets are valid.
 #[common(wire)]
 #[derive(Eq)]
 pub struct AdvisorTiming {
-    /// Constant part of the time that an answer takes.
+    /// Constant part of the time that a reply takes.
     pub answer_ms: DurationMs,
     /// Additional time for each worker in the advice request.
     pub per_worker_ms: DurationMs,
@@ -256,7 +258,7 @@
 /// `JobRecord` is an accepted job as it is stored; it never changes.
 #[common(wire)]
 pub struct JobRecord {
-    /// Id chosen by the caller.
+    /// Id chosen by the client.
     pub job_id: JobId,
     /// Queue that the job was submitted to.
     pub queue: ClassName,
@@ -320,7 +322,7 @@
 }
 
 impl TaskId {
-    /// `belongs_to` reports whether the task is one of the step.
+    /// `belongs_to` reports whether the task belongs to the step.
     #[must_use]
     pub fn belongs_to(&self, step: &StepId) -> bool {
         self.job_id == step.job_id && self.occurrence == step.occurrence && self.step == step.step
--- a/ragwortwick-area/src/job_state.rs
+++ b/ragwortwick-area/src/job_state.rs
@@ -227,7 +227,7 @@
             .get(id.index as usize)
     }
 
-    /// Records that a task, or its whole gang, has done its work, whatever runs of it are placed.
+    /// Records that a task, or its whole gang, has done its work, even if runs of it are still placed.
     /// Returns whether that completes the job.
     pub(crate) fn mark_done(&mut self, id: &TaskId) -> bool {
         let is_gang = self.spec(id.step).is_some_and(|spec| spec.is_gang);
@@ -265,7 +265,7 @@
         is_failed
     }
 
-    /// Whether the phase differs from the one in the last record, so that callers still see the old one.
+    /// Whether the phase differs from the one in the last record, so that clients still see the old one.
     pub(crate) fn has_unrecorded_phase(&self) -> bool {
         self.phase != self.recorded_phase
     }
--- a/ragwortwick-area/src/limits.rs
+++ b/ragwortwick-area/src/limits.rs
@@ -25,7 +25,7 @@
     pub weights: Weights,
 }
 
-/// `Weights` sets the value of work to its callers; operators may change it.
+/// `Weights` sets the value of work to its clients; operators may change it.
 #[common(wire)]
 #[serde(default, deny_unknown_fields)]
 pub struct Weights {
@@ -59,7 +59,7 @@
 impl Default for Weights {
     fn default() -> Self {
         Self {
-            // Urgent results have the highest value to the callers who wait for them.
+            // Urgent results have the highest value to the clients that wait for them.
             by_priority: vec![4.0, 3.0, 1.0],
             late_share: 0.4,
         }
--- a/ragwortwick-area/src/losses.rs
+++ b/ragwortwick-area/src/losses.rs
@@ -16,18 +16,18 @@
 /// connection shows at once.
 const SAME_EVENT_CLOSED_MS: DurationMs = DurationMs(250);
 
-/// The same if nothing replies, which shows only once the reply to a poll is overdue.
+/// The same if there was no reply, which shows only once the reply to a poll is overdue.
 const SAME_EVENT_UNANSWERED_MS: DurationMs = DurationMs(3_000);
 
-/// The same for workers lost before the term, which the first polls show.
+/// The same for workers lost before the term, which show in the first polls.
 const SAME_EVENT_UNSEEN_MS: DurationMs = DurationMs(1_000);
 
-/// Number of other workers lost in the same event without a likely cause among their own runs, from which
-/// on the runs of a worker are not taken as the cause of its loss.
+/// Number of other workers, lost in the same event with no likely cause among their runs, at which the
+/// event is taken to have a common cause: no worker's loss is then attributed to its runs.
 const COMMON_CAUSE_LOSSES: usize = 2;
 
-/// How long a loss is kept for comparison: workers lost in the same event come back, or don't, within
-/// seconds.
+/// How long a loss is kept for comparison: workers lost in the same event come back within seconds, or
+/// not at all.
 const RECENT_LOSS_MS: DurationMs = DurationMs(15_000);
 
 /// `WorkerLossCause` is why a worker was lost.
--- a/ragwortwick-area/src/persistence.rs
+++ b/ragwortwick-area/src/persistence.rs
@@ -59,9 +59,9 @@
         recovered_runs
     }
 
-    /// Marks gangs as ending of which only some members are recorded as placed.
+    /// Marks a gang as ending if only some of its members are recorded as placed.
     ///
-    /// Such a gang was ending when the record was written; its other members wait for that end.
+    /// Such a gang was ending when the record was written; its other members wait for the placed ones to end.
     fn mark_partial_gangs_ending(&mut self) {
         let record = Arc::clone(&self.record);
         for occurrence in &mut self.occurrences {
--- a/ragwortwick-area/src/progress.rs
+++ b/ragwortwick-area/src/progress.rs
@@ -5,7 +5,7 @@
 use ragwortwick_core::{DurationMs, WorkerName, common};
 use serde::{Deserialize, Serialize};
 
-/// `JobPhase` is the state of a job that callers see.
+/// `JobPhase` is the state of a job that clients see.
 #[common(key)]
 #[derive(Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
@@ -19,7 +19,7 @@
     Completed,
     /// A task or gang used up the attempts that its queue allows, or a task kept crashing its workers.
     Failed,
-    /// A caller cancelled it.
+    /// A client cancelled it.
     Cancelled,
 }
 
@@ -35,7 +35,7 @@
 #[common(wire)]
 #[derive(Eq, Default)]
 pub struct JobProgress {
-    /// Phase that callers see.
+    /// Phase that clients see.
     pub phase: JobPhase,
     /// Tasks whose state differs from that at acceptance.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
@@ -64,7 +64,7 @@
     /// Number of failed runs.
     #[serde(rename = "f", default, skip_serializing_if = "is_zero")]
     pub failures: u32,
-    /// Worker crashes attributed to the task, at the same point of its work.
+    /// Number of worker crashes attributed to the task, at the same point of its work.
     #[serde(rename = "k", default, skip_serializing_if = "is_zero")]
     pub crashes: u32,
     /// Age of its run at the last of these crashes.
--- a/ragwortwick-area/src/record_batches.rs
+++ b/ragwortwick-area/src/record_batches.rs
@@ -1,7 +1,7 @@
 //! Batches of job records for the store, and the starts and acknowledgements that wait for them.
 //!
-//! Under load, far more jobs change than one transaction holds while the store replies slowly. Batches of
-//! different jobs are therefore sent in parallel.
+//! Under load, the store replies slowly, and far more jobs change meanwhile than one transaction holds.
+//! Batches of different jobs are therefore sent in parallel.
 
 use std::collections::BTreeMap;
 
@@ -25,14 +25,14 @@
 /// Maximum number of batches in flight.
 const MAX_BATCHES_IN_FLIGHT: usize = 8;
 
-/// Time after the last batch was sent from which a batch that is not full may follow it. If the store
-/// replies within this time, the changes collected meanwhile go out in one call.
+/// Delay after a batch is sent before a batch that is not full may follow. If the store replies within
+/// this time, the changes collected meanwhile are sent in one call.
 const PARTIAL_BATCH_DELAY_MS: DurationMs = DurationMs(15);
 
 /// Time for which the record of an ended job is kept beyond the retention time.
 const DELETE_MARGIN_MS: DurationMs = DurationMs(180_000);
 
-/// Highest run end to acknowledge to each worker once its effect is stored.
+/// Highest sequence number of a run end to acknowledge to each worker once its effect is stored.
 type EndAcks = BTreeMap<WorkerName, u64>;
 
 /// `RecordBatches` tracks the changes that are not stored yet.
@@ -132,11 +132,11 @@
 
     /// Whether another batch may be sent now, if fewer than the maximum are in flight.
     fn can_send_batch(&self, now: TimeMs, is_full: bool) -> bool {
-        let is_delay_over = now.since(self.last_sent_at) >= PARTIAL_BATCH_DELAY_MS;
-        self.in_flight.is_empty() || is_full || is_delay_over
+        let has_delay_passed = now.since(self.last_sent_at) >= PARTIAL_BATCH_DELAY_MS;
+        self.in_flight.is_empty() || is_full || has_delay_passed
     }
 
-    /// Takes the run ends whose effect is stored: their batch and all earlier ones are.
+    /// Takes the run ends whose effect is stored: their batch and all earlier batches are stored.
     fn take_stored_acks(&mut self) -> Vec<EndAcks> {
         let first_in_flight = self.in_flight.keys().next().copied();
         let unstored = match first_in_flight {
@@ -161,7 +161,7 @@
         while let Some(jobs) = self.next_batch(now) {
             self.send_batch(now, jobs);
         }
-        // A run end may affect any changed job, so acknowledgements wait until all are in a batch.
+        // A run end may affect any changed job, so acknowledgements wait until all of these are in a batch.
         if self.records.dirty.is_empty() && !self.records.pending_acks.is_empty() {
             let acks = std::mem::take(&mut self.records.pending_acks);
             let of_last_batch = self.records.acks_by_batch.entry(self.records.last_batch);
--- a/ragwortwick-area/src/stalls.rs
+++ b/ragwortwick-area/src/stalls.rs
@@ -47,7 +47,7 @@
             .map_or(DurationMs(0), |tracker| tracker.stalled_ms())
     }
 
-    /// Time that the work took which a restart loses.
+    /// Time that the work took that a restart would lose.
     fn lost_by_restart(&self, restore_ms: DurationMs) -> DurationMs {
         match self.tracker {
             _ if self.saves_checkpoints => restore_ms,
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Time that the work took which a restart loses; none while a member of the group is not running.
+    /// Time that the work took that a restart would lose; none while a member of the gang is not running.
     ///
     /// A gang loses the work of its most advanced member. A gang makes no progress at its beginning while
     /// the start of a member is in flight; a stop then would only delay it further.
--- a/ragwortwick-area/tests/account.rs
+++ b/ragwortwick-area/tests/account.rs
@@ -1,4 +1,4 @@
-//! The accounting in the record of an ended job: the time per phase and the lost work.
+//! The accounting in the record of an ended job: the time per stage and the lost work.
 
 mod rig;
 
@@ -25,7 +25,7 @@
         accounting.running_ms,
     ]
     .iter()
-    .map(|phase_ms| phase_ms.0)
+    .map(|stage_ms| stage_ms.0)
     .sum()
 }
 
--- a/ragwortwick-area/tests/crashes.rs
+++ b/ragwortwick-area/tests/crashes.rs
@@ -12,16 +12,16 @@
 use ragwortwick_core::{JobId, WorkerName};
 use rig::{Rig, gang, job, running, step, worker};
 
-/// Starts of a task that are allowed once three workers have crashed under it.
+/// Maximum number of further starts of a task once three workers have crashed while running it.
 const MAX_STARTS_AFTER_CRASHES: usize = 2;
 
-/// Crashes after which these starts are counted.
+/// Number of crashes after which these starts are counted.
 const COUNTED_AFTER_CRASHES: usize = 3;
 
 /// How long a crashed worker is down.
 const DOWN_MS: u64 = 3_000;
 
-/// Workers whose incarnations each have a name of their own.
+/// A fleet of workers in which each incarnation of a worker has a name of its own.
 struct Fleet {
     entries: Vec<WorkerEntry>,
     incarnations: u32,
@@ -58,7 +58,7 @@
     }
 }
 
-/// Returns an area in which one worker has crashed under a task that waits again.
+/// Returns an area in which one worker has crashed while running a task, which waits to be placed again.
 fn after_a_crash(workers: u32, queue: &str) -> (Fleet, Rig, TaskId) {
     let mut fleet = Fleet::new(workers);
     let mut rig = Rig::new(&fleet.entries);
@@ -74,7 +74,7 @@
 
 const CRASHER: &str = "00000000000000d1";
 
-/// Guards against a task that crashes each worker that starts it, one worker after the other.
+/// Guards against endless restarts of a task that crashes each worker that starts it.
 #[test]
 fn verify_a_task_that_crashes_its_workers_is_given_up() {
     let mut fleet = Fleet::new(6);
@@ -383,7 +383,7 @@
     (rig, progress)
 }
 
-/// Guards against missing crashes if coordinators end right after each start and find only a restart.
+/// Guards against uncounted crashes if each coordinator ends right after a start, before its worker crashes.
 #[test]
 fn verify_a_crash_between_two_coordinators_counts() {
     let mut fleet = Fleet::new(6);
