--- a/ragwortwick-core/src/chart.rs
+++ b/ragwortwick-core/src/chart.rs
@@ -7,9 +7,9 @@
 
 use crate::{Error, Result};
 
-/// `ChartSymbol` is the set of states, events, guards or actions that a chart file may name.
+/// `ChartSymbol` is implemented by an enum of the states, events, guards or actions of a chart file.
 pub trait ChartSymbol: Copy + Eq + Ord + fmt::Debug + 'static {
-    /// All members of the set, each with its name in the file.
+    /// All members of the enum, each with its name in the file.
     const ALL: &'static [(&'static str, Self)];
 
     /// `from_name` returns the member with the given name.
--- a/ragwortwick-core/src/log_line.rs
+++ b/ragwortwick-core/src/log_line.rs
@@ -2,7 +2,9 @@
 
 use std::fmt;
 
-/// `LogValue` formats a value so that a pair stays one word; a value with white space is quoted.
+/// `LogValue` formats a value so that a pair stays one word.
+///
+/// An empty value, or one with white space, a quotation mark or an equals sign, is quoted.
 #[derive(Debug)]
 pub struct LogValue<T>(pub T);
 
--- a/ragwortwick-daemon/src/event_loop.rs
+++ b/ragwortwick-daemon/src/event_loop.rs
@@ -85,7 +85,9 @@
             })
     }
 
-    /// `send` waits for a free place; it is for events that must not be lost, from threads that may block.
+    /// `send` queues the event, waiting while the queue is full.
+    ///
+    /// It is for events that must not be lost, from threads that may block.
     ///
     /// # Errors
     ///
@@ -113,11 +115,11 @@
     /// # Errors
     ///
     /// Fails if the system cannot start a thread.
-    pub fn spawn<M: EventHandler<Event = E>>(
+    pub fn spawn<H: EventHandler<Event = E>>(
         name: &str,
         capacity: usize,
         clock: Clock,
-        handler: M,
+        handler: H,
     ) -> io::Result<Self> {
         let (events, receiver) = bounded(capacity);
         let has_ended = Arc::new(AtomicBool::new(false));
@@ -144,7 +146,7 @@
     }
 }
 
-fn run<M: EventHandler>(clock: Clock, mut handler: M, receiver: &Receiver<Message<M::Event>>) {
+fn run<H: EventHandler>(clock: Clock, mut handler: H, receiver: &Receiver<Message<H::Event>>) {
     loop {
         let now = clock.now();
         let wakeup = handler.next_wakeup();
--- a/ragwortwick-daemon/src/keys.rs
+++ b/ragwortwick-daemon/src/keys.rs
@@ -11,7 +11,7 @@
 /// Prefix of the records of accepted jobs.
 pub(crate) const JOBS_PREFIX: &str = "jobs/";
 
-/// `table_history` returns the key of an accepted table; ten digits make the order of keys that of numbers.
+/// `table_history` returns the key of an accepted table; padding to ten digits sorts the keys by number.
 pub(crate) fn table_history(number: u64) -> String {
     format!("{TABLE_HISTORY_PREFIX}{number:010}")
 }
--- a/ragwortwick-daemon/src/logging.rs
+++ b/ragwortwick-daemon/src/logging.rs
@@ -23,7 +23,7 @@
 /// `RingAppender` passes log lines to a thread that writes them.
 ///
 /// If the reader stops reading, the pipe fills up, and a direct write would block a request. The bounded
-/// queue holds lines meanwhile; lines that find it full are dropped and counted.
+/// queue holds lines meanwhile; lines that arrive while it is full are dropped and counted.
 struct RingAppender {
     encoder: PatternEncoder,
     lines: Sender<Vec<u8>>,
--- a/ragwortwick-daemon/src/status.rs
+++ b/ragwortwick-daemon/src/status.rs
@@ -6,8 +6,8 @@
 
 use crate::{App, Lifecycle};
 
-/// Timeout for the status of one host: within a second and a half, an operator gets the status of the
-/// others and the name of the host that did not respond.
+/// Timeout for the status of one host: an operator gets the status of the other hosts, and the name of the
+/// host that did not respond, within a second and a half.
 const HOST_STATUS_TIMEOUT_MS: DurationMs = DurationMs(1_500);
 
 /// `host_status` returns the status of this host.
