--- a/ragwortwick-area/src/advice.rs
+++ b/ragwortwick-area/src/advice.rs
@@ -120,8 +120,8 @@
         matches: impl Fn(&Ticket) -> bool,
     ) -> Option<BTreeSet<WorkerName>> {
         self.advisor_timing(candidate)?;
-        let known = self.advice.steps.get(&candidate.step_id());
-        let tickets = known.into_iter().flat_map(|step| &step.tickets);
+        let step_advice = self.advice.steps.get(&candidate.step_id());
+        let tickets = step_advice.into_iter().flat_map(|step| &step.tickets);
         Some(
             tickets
                 .filter(|(_, ticket)| matches(ticket))
@@ -170,13 +170,13 @@
             return;
         };
         let step = candidate.step_id();
-        let known = self.advice.steps.get(&step);
-        let last_request_at = known.and_then(|known| known.last_request_at);
+        let step_advice = self.advice.steps.get(&step);
+        let last_request_at = step_advice.and_then(|step_advice| step_advice.last_request_at);
         let proposed = self.advice.proposed.as_ref();
         if proposed.is_some_and(|other| other.last_request_at <= last_request_at) {
             return;
         }
-        let workers = workers_to_query(now, slots, spec, known, candidate.can_preempt());
+        let workers = workers_to_query(now, slots, spec, step_advice, candidate.can_preempt());
         if workers.is_empty() {
             return;
         }
@@ -195,8 +195,8 @@
             return;
         };
         self.advice.request_sent_at = Some(now);
-        let known = self.advice.steps.entry(request.step.clone());
-        known.or_default().last_request_at = Some(now);
+        let step_advice = self.advice.steps.entry(request.step.clone());
+        step_advice.or_default().last_request_at = Some(now);
         self.actions.push(Action::RequestAdvice {
             step: request.step,
             workers: request.workers,
@@ -228,18 +228,18 @@
         // The ticket may have been issued as early as the request was sent.
         let expires_at = sent_at + valid_ms;
         let usable_until = expires_at - margin_ms;
-        let known = self.advice.steps.entry(step).or_default();
+        let step_advice = self.advice.steps.entry(step).or_default();
         for (worker, text) in allowed {
             let ticket = Ticket {
                 text,
                 expires_at,
                 usable_until,
             };
-            known.tickets.insert(worker, ticket);
+            step_advice.tickets.insert(worker, ticket);
         }
         for worker in asked {
-            if !known.tickets.contains_key(&worker) {
-                known.refused.insert(worker);
+            if !step_advice.tickets.contains_key(&worker) {
+                step_advice.refused.insert(worker);
             }
         }
     }
@@ -254,7 +254,7 @@
     now: TimeMs,
     slots: &[Slot],
     spec: &StepSpec,
-    known: Option<&StepAdvice>,
+    step_advice: Option<&StepAdvice>,
     can_preempt: bool,
 ) -> Vec<WorkerName> {
     let mut ranked = Vec::new();
@@ -264,8 +264,8 @@
         for slot in rack_slots {
             let has_capacity = slot.task_capacity(spec) > 0;
             let is_candidate = slot.has_required_label(spec) && (has_capacity || can_preempt);
-            let ticket = known.and_then(|step| step.tickets.get(&slot.worker));
-            let is_refused = known.is_some_and(|step| step.refused.contains(&slot.worker));
+            let ticket = step_advice.and_then(|step| step.tickets.get(&slot.worker));
+            let is_refused = step_advice.is_some_and(|step| step.refused.contains(&slot.worker));
             if !is_candidate || is_refused || ticket.is_some_and(|ticket| ticket.is_usable(now)) {
                 continue;
             }
--- a/ragwortwick-area/src/packing.rs
+++ b/ragwortwick-area/src/packing.rs
@@ -192,8 +192,8 @@
 
 /// `pack_gang` returns a slot for each of `count` members, or `None` if not all of them fit.
 ///
-/// A gang that wants a single rack gets the one with the least capacity left over, so that other racks stay
-/// whole. Across racks, one slow link would delay all members.
+/// A gang that wants a single rack gets the one with the least capacity left over, so that whole racks stay
+/// free for later gangs. Across racks, one slow link would delay all members.
 pub(crate) fn pack_gang(
     slots: &[Slot],
     spec: &StepSpec,
--- a/ragwortwick-area/src/value.rs
+++ b/ragwortwick-area/src/value.rs
@@ -59,7 +59,8 @@
         };
         let remaining = remaining_work(job, steps).max(1.0);
         let total = total_work(job).max(1.0);
-        // Three tenths of the value are fixed, seven tenths grow with the job's work relative to the queue's mean.
+        // Three tenths of the value are fixed; seven tenths grow with the whole job's work, relative to the
+        // queue's mean.
         let mean = self.mean_work(&job.record.queue).unwrap_or(total);
         let value = weights.of_priority(policy.priority) * (0.3 + 0.7 * total / mean).min(4.0);
         OccurrenceValue {
