--- a/ragwortwick-policy/src/zone/audit.rs
+++ b/ragwortwick-policy/src/zone/audit.rs
@@ -1,12 +1,12 @@
-//! A look inside for tests: what is guaranteed and unused, and what could be reclaimed for it.
+//! Audit for tests: the unused guaranteed cells and the accelerators that can be reclaimed for them.
 
 use ragwortwick_core::{CustomerName, common};
 
 use super::ZonePlacer;
-use super::homes::Home;
-use super::pool::{BLOCK, aligned};
+use super::bindings::CellBinding;
+use super::pool::{BLOCK_SIZE, aligned_blocks};
 
-/// `UnusedCell` is a guaranteed cell, or the rest of one, that its customer does not use.
+/// `UnusedCell` is a guaranteed cell, or the part of one, that its customer does not use.
 #[common]
 pub struct UnusedCell {
     /// The customer.
@@ -15,49 +15,49 @@
     pub size: u32,
 }
 
-/// `AuditedWorker` is what guarantees could get of one worker.
+/// `AuditedWorker` is the capacity of one worker that guarantees can reclaim.
 #[common]
 pub struct AuditedWorker {
     /// Number of its rack.
     pub rack: usize,
-    /// Accelerators that are free or held by borrowed work, on a worker in use.
+    /// Accelerators of a usable worker that are free or allocated to borrowed work.
     pub reclaimable: u32,
 }
 
-/// `GuaranteeAudit` is the state that the invariant on guarantees speaks of.
+/// `GuaranteeAudit` is the state to which the invariant on guarantees applies.
 #[common]
 pub struct GuaranteeAudit {
-    /// Unused cells that are promised to be reclaimable now.
+    /// Unused cells that must be reclaimable now.
     pub unused: Vec<UnusedCell>,
-    /// Cells that were reported as short.
+    /// Cells that are not bound to accelerators.
     pub short: Vec<UnusedCell>,
     /// The workers.
     pub workers: Vec<AuditedWorker>,
-    /// Covered work outside its customer's homes, and homes that overlap.
+    /// Guaranteed work outside its customer's bound cells, and bound cells that overlap.
     pub violations: Vec<String>,
 }
 
 impl ZonePlacer {
-    /// `audit_guarantees` shows what the invariant on guarantees speaks of.
+    /// `audit_guarantees` returns the state to which the invariant on guarantees applies.
     #[must_use]
     pub fn audit_guarantees(&self) -> GuaranteeAudit {
         let mut unused = Vec::new();
         let mut short = Vec::new();
-        for home in &self.homes.list {
+        for binding in &self.bindings.list {
             let cell = |size| UnusedCell {
-                customer: home.customer.clone(),
+                customer: binding.customer.clone(),
                 size,
             };
-            if home.is_short() {
-                short.push(cell(home.size));
+            if binding.is_unbound() {
+                short.push(cell(binding.size));
             } else {
-                unused.extend(unused_sizes(home).into_iter().map(cell));
+                unused.extend(unused_sizes(binding).into_iter().map(cell));
             }
         }
         let workers = self.ledger.workers.iter().map(|entry| AuditedWorker {
             rack: entry.rack,
             reclaimable: if entry.is_usable() {
-                entry.full() & !entry.closed()
+                entry.capacity_mask() & !entry.unavailable_mask()
             } else {
                 0
             },
@@ -73,9 +73,9 @@
     fn violations(&self) -> Vec<String> {
         let mut violations = Vec::new();
         let mut seen = vec![0; self.ledger.workers.len()];
-        for part in self.homes.list.iter().flat_map(|home| &home.parts) {
+        for part in self.bindings.list.iter().flat_map(|binding| &binding.parts) {
             if seen[part.worker] & part.mask != 0 {
-                violations.push(format!("homes overlap on worker {}", part.worker));
+                violations.push(format!("bound cells overlap on worker {}", part.worker));
             }
             seen[part.worker] |= part.mask;
         }
@@ -83,13 +83,20 @@
             let customer = &gang.spec.customer;
             for part in gang.parts() {
                 let mut booked = 0;
-                for home in self.homes.list.iter().filter(|h| h.customer == *customer) {
-                    for (own, used) in home.parts.iter().zip(&home.used) {
+                for binding in self
+                    .bindings
+                    .list
+                    .iter()
+                    .filter(|binding| binding.customer == *customer)
+                {
+                    for (own, used) in binding.parts.iter().zip(&binding.used) {
                         booked |= if own.worker == part.worker { *used } else { 0 };
                     }
                 }
                 if part.mask & !booked != 0 {
-                    violations.push(format!("{gang_id} is covered outside its homes"));
+                    violations.push(format!(
+                        "{gang_id} is guaranteed outside its customer's bound cells"
+                    ));
                 }
             }
         }
@@ -97,19 +104,19 @@
     }
 }
 
-/// Splits what a home has left into the largest cells.
-fn unused_sizes(home: &Home) -> Vec<u32> {
-    if home.is_unused() {
-        return vec![home.size];
+/// Splits the unused part of a bound cell into the largest possible cells.
+fn unused_sizes(binding: &CellBinding) -> Vec<u32> {
+    if binding.is_unused() {
+        return vec![binding.size];
     }
     let mut sizes = Vec::new();
     let mut whole = 0;
-    for (part, used) in home.parts.iter().zip(&home.used) {
+    for (part, used) in binding.parts.iter().zip(&binding.used) {
         let mut left = part.mask & !used;
-        for size in [BLOCK, 4, 2, 1] {
-            for mask in aligned(left, size).collect::<Vec<u32>>() {
+        for size in [BLOCK_SIZE, 4, 2, 1] {
+            for mask in aligned_blocks(left, size).collect::<Vec<u32>>() {
                 left &= !mask;
-                if size == BLOCK {
+                if size == BLOCK_SIZE {
                     whole += 1;
                 } else {
                     sizes.push(size);
@@ -120,7 +127,7 @@
     for blocks in [8, 4, 2, 1] {
         while whole >= blocks {
             whole -= blocks;
-            sizes.push(blocks * BLOCK);
+            sizes.push(blocks * BLOCK_SIZE);
         }
     }
     sizes
--- a/ragwortwick-policy/src/zone/capacity.rs
+++ b/ragwortwick-policy/src/zone/capacity.rs
@@ -1,11 +1,11 @@
-//! Check that the guarantees of a table fit the zones all at once.
+//! Check that all guarantees of a table fit the zones at the same time.
 
 use std::collections::BTreeMap;
 
 use ragwortwick_border::{Table, TableProblem};
 use ragwortwick_core::ZoneName;
 
-use super::pool::{Pool, SIZES, full_mask};
+use super::pool::{CELL_SIZES, Pool, full_mask};
 
 /// `RackCapacity` lists the accelerators of each worker of one rack.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -21,9 +21,9 @@
     pub zones: BTreeMap<ZoneName, Vec<RackCapacity>>,
 }
 
-/// `check_guarantees_pack` names each guarantee row that does not pack beside the others.
+/// `check_guarantees_pack` returns a problem for each guarantee row that does not fit beside the others.
 ///
-/// Larger cells go first; among rows of one cell size the later one is named.
+/// Larger cells are packed first; among rows of one cell size the later one is reported.
 #[must_use]
 pub fn check_guarantees_pack(table: &Table, capacity: &ZoneCapacity) -> Vec<TableProblem> {
     let mut pools: BTreeMap<&ZoneName, Pool> = capacity
@@ -32,7 +32,7 @@
         .map(|(zone, racks)| (zone, pool_of(racks)))
         .collect();
     let mut problems = Vec::new();
-    for size in SIZES {
+    for size in CELL_SIZES {
         for (index, row) in table.guarantees.iter().enumerate() {
             if row.shape.cell_accelerators != size {
                 continue;
@@ -41,8 +41,8 @@
                 problems.push(problem(index, "zone", "no worker of this zone is listed"));
                 continue;
             };
-            // The count comes first: a mistyped huge number must not cost a search per cell.
-            let free = pool.count(size);
+            // Compares counts first, so that a mistyped huge number costs no search per cell.
+            let free = pool.cell_count(size);
             if free < row.shape.cells {
                 let text = format!(
                     "does not pack beside the other guarantees: {free} cells of {size} are left in \
@@ -57,7 +57,7 @@
         }
     }
     for (index, row) in table.guarantees.iter().enumerate() {
-        if !SIZES.contains(&row.shape.cell_accelerators) {
+        if !CELL_SIZES.contains(&row.shape.cell_accelerators) {
             problems.push(problem(
                 index,
                 "cell_accelerators",
@@ -73,7 +73,7 @@
     let mut pool = Pool::default();
     for (rack, row) in racks.iter().enumerate() {
         for accelerators in &row.worker_accelerators {
-            pool.push(rack, full_mask(*accelerators), 0);
+            pool.add_worker(rack, full_mask(*accelerators), 0);
         }
     }
     pool
--- a/ragwortwick-policy/src/zone/claims.rs
+++ b/ragwortwick-policy/src/zone/claims.rs
@@ -1,31 +1,32 @@
-//! Claims: guarantees that wait for borrowed work to leave, and work that loses its guarantee.
+//! Claims, by which guarantees wait for preempted borrowed work, and demotion of guaranteed work.
 
 use std::collections::BTreeSet;
 
 use ragwortwick_core::{GangId, TimeMs};
 
 use super::ZonePlacer;
+use super::bindings::CellQuery;
 use super::cells::{Cell, Part, merge_parts};
 use super::gang::{Gang, GangEvent, GangState};
-use super::homes::Wanted;
-use super::start::{Pass, Request, overlaps};
+use super::start::{PlacementPass, PlacementRequest, overlaps};
 
 impl ZonePlacer {
-    /// Takes the customer's own guarantee back from its routine or younger work.
+    /// Finds cells for an urgent or starved job by demoting its customer's non-urgent work.
     ///
-    /// Only work accepted later is demoted, so two starved jobs can't stop each other in turn.
+    /// A starved job demotes only work accepted later, so two starved jobs cannot preempt each other
+    /// in turn.
     pub(super) fn find_demoting(
         &mut self,
         now: TimeMs,
-        request: &Request,
-        pass: &Pass,
+        request: &PlacementRequest,
+        pass: &PlacementPass,
     ) -> Option<Vec<Cell>> {
         if !request.is_urgent && !request.is_starved {
             return None;
         }
         let accepted = self.jobs[&request.job_id].record.accepted_at_ms;
-        let mut homes = self.homes.clone();
-        let mut closed = pass.closed.clone();
+        let mut bindings = self.bindings.clone();
+        let mut unavailable = pass.unavailable.clone();
         let mut demotable = Vec::new();
         for (gang_id, gang) in &self.gangs {
             let Some(job) = self.jobs.get(&gang.job_id) else {
@@ -33,13 +34,13 @@
             };
             let is_routine = !self.weights.is_urgent(job);
             let is_younger = job.record.accepted_at_ms > accepted;
-            let gives_way =
+            let is_preemptible =
                 is_routine && job.record.spec.repeatable && (request.is_urgent || is_younger);
             let is_own = gang.spec.customer == request.customer && !gang.is_borrowed;
-            if is_own && gives_way && gang.state == GangState::Running {
-                homes.unmark(&gang.parts());
+            if is_own && is_preemptible && gang.state == GangState::Running {
+                bindings.mark_unused(&gang.parts());
                 for part in gang.parts() {
-                    closed[part.worker] &= !part.mask;
+                    unavailable[part.worker] &= !part.mask;
                 }
                 demotable.push(gang_id.clone());
             }
@@ -47,24 +48,24 @@
         if demotable.is_empty() {
             return None;
         }
-        let held: Vec<u32> = (0..closed.len())
-            .map(|w| pass.closed[w] & !closed[w])
+        let demotable_mask: Vec<u32> = (0..unavailable.len())
+            .map(|w| pass.unavailable[w] & !unavailable[w])
             .collect();
-        let borrowed: Vec<u32> = (0..closed.len())
-            .map(|w| pass.borrowed[w] | held[w])
+        let borrowed: Vec<u32> = (0..unavailable.len())
+            .map(|w| pass.borrowed[w] | demotable_mask[w])
             .collect();
         let stop_cost = self.stop_cost(|_| true);
-        let wanted = Wanted {
+        let query = CellQuery {
             customer: &request.customer,
             cells: request.cells,
             size: request.size,
             is_urgent: request.is_urgent,
             borrowed: &borrowed,
             stop_cost: &stop_cost,
-            closed: &closed,
-            excluded: &request.avoided,
+            unavailable: &unavailable,
+            excluded: &request.excluded_workers,
         };
-        let cells = homes.find(&wanted)?;
+        let cells = bindings.find_cells(&query)?;
         let taken = merge_parts(&cells);
         for gang_id in demotable {
             self.demote_if_touched(&gang_id, &taken);
@@ -78,25 +79,25 @@
             return;
         };
         if parts.iter().any(|part| overlaps(taken, *part)) {
-            self.unmark_homes(gang_id, parts);
+            self.mark_cells_unused(gang_id, parts);
             self.set_borrowed(gang_id, true);
         }
     }
 
-    /// Gives a gang's accelerators back to their homes, but for those that other covered work holds.
+    /// Marks a gang's accelerators as unused, except those allocated to other guaranteed work.
     ///
-    /// A worker that comes back may show a gang of which another worker's accelerators have gone to
-    /// later work.
-    pub(super) fn unmark_homes(&mut self, gang_id: &GangId, mut parts: Vec<Part>) {
+    /// A returning worker may report a gang whose accelerators on another worker have since been
+    /// allocated to later work.
+    pub(super) fn mark_cells_unused(&mut self, gang_id: &GangId, mut parts: Vec<Part>) {
         let others = self.gangs.iter().filter(|(id, _)| *id != gang_id);
         for (_, other) in others.filter(|(_, other)| !other.is_borrowed) {
-            for held in other.parts() {
-                for part in parts.iter_mut().filter(|p| p.worker == held.worker) {
-                    part.mask &= !held.mask;
+            for other_part in other.parts() {
+                for part in parts.iter_mut().filter(|p| p.worker == other_part.worker) {
+                    part.mask &= !other_part.mask;
                 }
             }
         }
-        self.homes.unmark(&parts);
+        self.bindings.mark_unused(&parts);
     }
 
     pub(super) fn set_borrowed(&mut self, gang_id: &GangId, is_borrowed: bool) {
@@ -106,9 +107,9 @@
         gang.is_borrowed = is_borrowed;
         let workers: Vec<usize> = gang.members.iter().map(|m| m.part.worker).collect();
         for worker in workers {
-            for hold in &mut self.ledger.workers[worker].holds {
-                if hold.gang_id == *gang_id {
-                    hold.is_borrowed = is_borrowed;
+            for allocation in &mut self.ledger.workers[worker].allocations {
+                if allocation.gang_id == *gang_id {
+                    allocation.is_borrowed = is_borrowed;
                 }
             }
         }
@@ -117,41 +118,41 @@
     pub(super) fn victims_of(&self, parts: &[Part]) -> BTreeSet<GangId> {
         let mut victims = BTreeSet::new();
         for part in parts {
-            for hold in &self.ledger.workers[part.worker].holds {
-                if hold.mask & part.mask != 0 {
-                    victims.insert(hold.gang_id.clone());
+            for allocation in &self.ledger.workers[part.worker].allocations {
+                if allocation.mask & part.mask != 0 {
+                    victims.insert(allocation.gang_id.clone());
                 }
             }
         }
         victims
     }
 
-    /// Lets claims go on whose accelerators are free by now.
+    /// Continues claims whose accelerators are now free.
     pub(super) fn unblock_claims(&mut self, now: TimeMs) {
         let mut free = Vec::new();
         for (gang_id, gang) in &self.gangs {
             let is_free = gang.state == GangState::Claiming
                 && gang.members.iter().all(|member| {
-                    let holds = &self.ledger.workers[member.part.worker].holds;
-                    holds
-                        .iter()
-                        .all(|hold| hold.gang_id == *gang_id || hold.mask & member.part.mask == 0)
+                    let allocations = &self.ledger.workers[member.part.worker].allocations;
+                    allocations.iter().all(|allocation| {
+                        allocation.gang_id == *gang_id || allocation.mask & member.part.mask == 0
+                    })
                 });
             if is_free {
                 free.push(gang_id.clone());
             }
         }
         for gang_id in free {
-            self.tell_reclaimed(now, &gang_id);
+            self.report_reclaimed(now, &gang_id);
             self.fire(now, &gang_id, GangEvent::Unblocked);
         }
     }
 
-    pub(super) fn tell_reclaimed(&mut self, now: TimeMs, gang_id: &GangId) {
+    pub(super) fn report_reclaimed(&mut self, now: TimeMs, gang_id: &GangId) {
         let gang = &self.gangs[gang_id];
         let notice = super::ZoneNotice::Reclaimed {
             customer: gang.spec.customer.clone(),
-            reclaim_ms: now.since(gang.since),
+            reclaim_ms: now.since(gang.entered_at),
         };
         self.notice(notice);
     }
--- a/ragwortwick-policy/src/zone/gang.rs
+++ b/ragwortwick-policy/src/zone/gang.rs
@@ -6,7 +6,7 @@
 
 use super::cells::Part;
 
-/// `GangState` is the phase of a gang as its owner drives it.
+/// `GangState` is the state of a gang in its state chart.
 #[common(key)]
 pub(super) enum GangState {
     Reserving,
@@ -19,12 +19,12 @@
     Ended,
 }
 
-/// `GangEvent` is what moves a gang to its next state.
+/// `GangEvent` is an event of the gang's state chart.
 #[common(key)]
 pub(super) enum GangEvent {
     Blocked,
     Unblocked,
-    FoundCommitted,
+    RecoveredCommitted,
     AllReserved,
     Recorded,
     AllRunning,
@@ -32,16 +32,16 @@
     AllEnded,
 }
 
-/// `GangGuard` is a condition of a transition.
+/// `GangGuard` is a condition on a transition.
 #[common(key)]
 pub(super) enum GangGuard {
     StartUnrecorded,
     ReservationsFresh,
 }
 
-/// `GangAct` is what a transition does.
+/// `GangAction` is an action that a transition runs.
 #[common(key)]
-pub(super) enum GangAct {
+pub(super) enum GangAction {
     ReserveMembers,
     ReleaseMembers,
     RecordStart,
@@ -68,7 +68,7 @@
     const ALL: &'static [(&'static str, Self)] = &[
         ("blocked", Self::Blocked),
         ("unblocked", Self::Unblocked),
-        ("found_committed", Self::FoundCommitted),
+        ("found_committed", Self::RecoveredCommitted),
         ("all_reserved", Self::AllReserved),
         ("recorded", Self::Recorded),
         ("all_running", Self::AllRunning),
@@ -84,7 +84,7 @@
     ];
 }
 
-impl ChartSymbol for GangAct {
+impl ChartSymbol for GangAction {
     const ALL: &'static [(&'static str, Self)] = &[
         ("reserve_members", Self::ReserveMembers),
         ("release_members", Self::ReleaseMembers),
@@ -96,55 +96,55 @@
     ];
 }
 
-/// `GangChart` is the chart of `charts/gang.json`.
-pub(super) type GangChart = StateChart<GangState, GangEvent, GangGuard, GangAct>;
+/// `GangChart` is the state chart in `charts/gang.json`.
+pub(super) type GangChart = StateChart<GangState, GangEvent, GangGuard, GangAction>;
 
-/// `gang_chart` reads the committed chart file.
+/// `gang_chart` parses the committed chart file.
 ///
 /// # Panics
 ///
-/// Panics if the committed file is faulty, which a test rules out.
+/// Panics if the committed file is invalid; a test checks that it is valid.
 pub(super) fn gang_chart() -> GangChart {
     GangChart::parse(include_str!("../../charts/gang.json")).expect("the committed chart is valid")
 }
 
-/// `MemberState` is what is known of one member.
+/// `MemberState` is the last known state of one member.
 #[common(key)]
 pub(super) enum MemberState {
-    /// Named by the gang; its worker has not answered yet.
+    /// The gang lists the member, but its worker has not reported yet.
     Unknown,
-    /// Nothing was sent to its worker yet.
+    /// No order was sent to its worker yet.
     Idle,
     Reserving,
     Reserved,
     Committing,
     Running,
-    /// A stop or release is under way.
-    Leaving,
-    /// It ended and its worker says how.
+    /// A stop or release was sent.
+    Stopping,
+    /// The member ended in the phase that its worker reported.
     Ended(GangPhase),
-    /// Its worker has nothing of it, or its lease has lapsed.
+    /// Its worker does not have it, or its lease expired.
     Gone,
 }
 
 impl MemberState {
-    pub(super) fn is_over(self) -> bool {
+    pub(super) fn is_ended(self) -> bool {
         matches!(self, Self::Ended(_) | Self::Gone | Self::Idle)
     }
 }
 
-/// `Member` is a gang's part on one worker.
+/// `Member` is the part of a gang on one worker.
 #[derive(Clone, Debug)]
 pub(super) struct Member {
     pub(super) part: Part,
     pub(super) state: MemberState,
-    /// Answers to orders below this number are older than the state.
-    pub(super) since_order: u64,
-    /// It runs no longer than this without a renewal.
+    /// Replies to orders below this number predate the state and are ignored.
+    pub(super) valid_from_order: u64,
+    /// Without a renewal the member stops at this time.
     pub(super) lease_until: TimeMs,
 }
 
-/// `EndCause` is why a gang ends.
+/// `EndCause` is the reason why a gang ends.
 #[common]
 #[derive(Display)]
 pub(super) enum EndCause {
@@ -177,15 +177,15 @@
     pub(super) members: Vec<Member>,
     pub(super) is_borrowed: bool,
     pub(super) cause: Option<EndCause>,
-    /// Any member was sent a commit: it may have run.
+    /// Whether a commit was sent to any member, so that the gang may have run.
     pub(super) may_have_run: bool,
-    /// It was found on workers after a change of owner.
-    pub(super) is_found: bool,
-    /// No record of its job came up; it is stopped and forgotten.
+    /// Whether the gang was recovered from worker inventories after a change of owner.
+    pub(super) is_recovered: bool,
+    /// Whether no job record was found for the gang, so that it is stopped and dropped.
     pub(super) is_orphan: bool,
-    /// When it entered its state.
-    pub(super) since: TimeMs,
-    /// When its oldest reservation was asked for.
+    /// When the gang entered its current state.
+    pub(super) entered_at: TimeMs,
+    /// When its oldest reservation was ordered.
     pub(super) reserved_at: TimeMs,
 }
 
--- a/ragwortwick-policy/src/zone/jobs.rs
+++ b/ragwortwick-policy/src/zone/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs as they are found, cancelled and recorded.
+//! Events of jobs: found in the store, cancelled and recorded.
 
 use ragwortwick_border::{JobPhase, JobRecord};
 use ragwortwick_core::{GangId, JobId, TimeMs};
@@ -11,8 +11,8 @@
 impl ZonePlacer {
     pub(super) fn on_job_found(&mut self, now: TimeMs, record: JobRecord) {
         let job_id = record.job_id.clone();
-        let is_away = self.ownership == Ownership::Away;
-        if is_away || is_final(record.phase) || self.ended_jobs.get(&job_id).is_some() {
+        let is_not_owner = self.ownership == Ownership::NotOwner;
+        if is_not_owner || is_final(record.phase) || self.ended_jobs.get(&job_id).is_some() {
             return;
         }
         let is_cancelled = record.cancel_requested;
@@ -20,9 +20,9 @@
             let is_recovering = self.ownership == Ownership::Recovering;
             let job = Job::new(record, now, is_recovering);
             self.jobs.insert(job_id.clone(), job);
-            self.adopt_gangs_of(now, &job_id);
+            self.attach_recovered_gangs(now, &job_id);
             self.is_place_due = true;
-            if !is_recovering && self.refuse_unfit(&job_id) {
+            if !is_recovering && self.reject_oversized(&job_id) {
                 return;
             }
         }
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Ends a job that would not fit the zone's listed workers if all were empty.
-    fn refuse_unfit(&mut self, job_id: &JobId) -> bool {
+    /// Fails a job that does not fit the zone's listed workers even when all are empty.
+    fn reject_oversized(&mut self, job_id: &JobId) -> bool {
         let Some(job) = self.jobs.get(job_id) else {
             return false;
         };
@@ -57,13 +57,13 @@
             return;
         }
         let Some(gang_id) = job.active.clone() else {
-            // A start on record without a gang is settled by recovery, not by the cancellation.
-            if !job.start_is_on_record() {
+            // A recorded start without a gang is settled by recovery, not by the cancellation.
+            if !job.has_recorded_start() {
                 self.end_job(job_id, JobPhase::Cancelled, "its caller cancelled it");
             }
             return;
         };
-        // A gang that ends for another reason must not put the cancelled job back into the queue.
+        // A gang that ends for another reason must not requeue the cancelled job.
         if let Some(gang) = self.gangs.get_mut(&gang_id)
             && gang.cause != Some(EndCause::Finished)
         {
@@ -83,7 +83,7 @@
             self.jobs.remove(job_id);
         }
         for (worker, gang_id) in to_forget {
-            self.forget_on(now, worker, &gang_id);
+            self.order_forget(now, worker, &gang_id);
         }
         if let Some(gang_id) = active {
             self.on_start_recorded(now, &gang_id, attempt);
--- a/ragwortwick-policy/src/zone/ledger.rs
+++ b/ragwortwick-policy/src/zone/ledger.rs
@@ -1,4 +1,4 @@
-//! The zone's own account of its workers and of who holds which accelerators.
+//! The placer's record of the zone's workers and of the gangs that their accelerators are allocated to.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,7 +8,7 @@
 use super::cells::Part;
 use super::pool::{Pool, full_mask};
 
-/// `Listing` is what the platform's host list says of a worker.
+/// `Listing` is a worker's state in the platform's host list.
 #[common(key)]
 pub(super) enum Listing {
     Live,
@@ -16,101 +16,105 @@
     Unlisted,
 }
 
-/// `Judgement` is the evidence-based state of a worker.
+/// `WorkerHealth` is the state of a worker that its failed jobs lead to.
 #[common(key)]
-pub(super) enum Judgement {
+pub(super) enum WorkerHealth {
     Trusted,
     Quarantined { trial_at: TimeMs },
     Trial,
 }
 
-/// `Hold` is a gang's claim on accelerators of one worker.
+/// `Allocation` is the accelerators of one worker that a gang has or claims.
 #[common]
-pub(super) struct Hold {
+pub(super) struct Allocation {
     pub(super) gang_id: GangId,
     pub(super) mask: u32,
     pub(super) is_borrowed: bool,
-    /// Waiting for borrowed work to leave; not yet the gang's own.
+    /// The gang waits for borrowed work to stop and has not reserved the accelerators yet.
     pub(super) is_claim: bool,
 }
 
-/// `WorkerEntry` is one worker in the ledger.
+/// `WorkerEntry` is the state of one worker in the ledger.
 #[derive(Clone, Debug)]
 pub(super) struct WorkerEntry {
     pub(super) name: WorkerName,
     pub(super) rack: usize,
     pub(super) accelerators: u32,
     pub(super) listing: Listing,
-    /// Its inventory was read under this epoch.
-    pub(super) is_known: bool,
-    /// Orders in a row without answer.
-    pub(super) silent_orders: u32,
-    /// When the first of these orders went unanswered.
-    pub(super) silent_since: TimeMs,
-    pub(super) next_renew: TimeMs,
+    /// Whether its inventory was read under this epoch.
+    pub(super) has_inventory: bool,
+    /// Consecutive orders without a reply.
+    pub(super) unanswered_orders: u32,
+    /// When the first of these orders timed out.
+    pub(super) unresponsive_since: TimeMs,
+    pub(super) next_renew_at: TimeMs,
     pub(super) is_renewing: bool,
-    pub(super) judgement: Judgement,
+    pub(super) health: WorkerHealth,
     pub(super) quarantines: u32,
-    pub(super) evidence: BTreeSet<JobId>,
-    pub(super) holds: Vec<Hold>,
-    /// Accelerators held by members that no known gang has.
-    pub(super) foreign: u32,
+    pub(super) failed_jobs: BTreeSet<JobId>,
+    pub(super) allocations: Vec<Allocation>,
+    /// Accelerators in use by members that belong to no known gang.
+    pub(super) untracked_mask: u32,
 }
 
-/// Unanswered orders in a row after which nothing new is placed on a worker.
-pub(super) const LOST_AFTER_SILENT_ORDERS: u32 = 2;
+/// Consecutive unanswered orders after which nothing new is placed on a worker.
+pub(super) const LOST_AFTER_UNANSWERED_ORDERS: u32 = 2;
 
 impl WorkerEntry {
     pub(super) fn is_lost(&self) -> bool {
-        self.silent_orders >= LOST_AFTER_SILENT_ORDERS || self.listing == Listing::Unlisted
+        self.unanswered_orders >= LOST_AFTER_UNANSWERED_ORDERS || self.listing == Listing::Unlisted
     }
 
-    /// Whether guarantees may rest on it.
+    /// Whether guaranteed cells may be bound to its accelerators.
     pub(super) fn is_usable(&self) -> bool {
         self.listing == Listing::Live
             && !self.is_lost()
-            && self.is_known
-            && self.judgement == Judgement::Trusted
+            && self.has_inventory
+            && self.health == WorkerHealth::Trusted
     }
 
-    pub(super) fn full(&self) -> u32 {
+    pub(super) fn capacity_mask(&self) -> u32 {
         full_mask(self.accelerators)
     }
 
-    pub(super) fn held(&self) -> u32 {
-        self.holds
+    pub(super) fn allocated_mask(&self) -> u32 {
+        self.allocations
             .iter()
-            .fold(self.foreign, |mask, hold| mask | hold.mask)
+            .fold(self.untracked_mask, |mask, allocation| {
+                mask | allocation.mask
+            })
     }
 
-    /// Accelerators held by borrowed work.
-    pub(super) fn borrowed(&self) -> u32 {
-        self.holds
+    /// Accelerators allocated to borrowed work.
+    pub(super) fn borrowed_mask(&self) -> u32 {
+        self.allocations
             .iter()
-            .filter(|hold| hold.is_borrowed && !hold.is_claim)
-            .fold(0, |mask, hold| mask | hold.mask)
+            .filter(|allocation| allocation.is_borrowed && !allocation.is_claim)
+            .fold(0, |mask, allocation| mask | allocation.mask)
     }
 
-    /// Accelerators that even a guarantee can't get now: covered work, claims, strangers.
-    pub(super) fn closed(&self) -> u32 {
-        self.holds
+    /// Accelerators that no guarantee can reclaim now: guaranteed work, claims and untracked members.
+    pub(super) fn unavailable_mask(&self) -> u32 {
+        self.allocations
             .iter()
-            .filter(|hold| !hold.is_borrowed || hold.is_claim)
-            .fold(self.foreign, |mask, hold| mask | hold.mask)
+            .filter(|allocation| !allocation.is_borrowed || allocation.is_claim)
+            .fold(self.untracked_mask, |mask, allocation| {
+                mask | allocation.mask
+            })
     }
 
     pub(super) fn state(&self) -> &'static str {
-        match (self.is_lost(), self.listing, self.judgement) {
+        match (self.is_lost(), self.listing, self.health) {
             (true, _, _) => "lost",
             (_, Listing::Leaving, _) => "leaving",
-            (_, _, Judgement::Quarantined { .. }) => "quarantined",
-            (_, _, Judgement::Trial) => "trial",
+            (_, _, WorkerHealth::Quarantined { .. }) => "quarantined",
+            (_, _, WorkerHealth::Trial) => "trial",
             _ => "live",
         }
     }
 }
 
-/// `Ledger` is all workers of the zone.
+/// `Ledger` holds all workers of the zone.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Ledger {
     pub(super) workers: Vec<WorkerEntry>,
@@ -130,8 +134,8 @@
             .map(|(name, _)| name)
     }
 
-    /// `list` adds a worker or takes over what changed; tells its index and whether it is new.
-    pub(super) fn list(&mut self, info: &WorkerInfo, now: TimeMs) -> (usize, bool) {
+    /// `list_worker` adds or updates a worker; returns its index and whether it is new or listed again.
+    pub(super) fn list_worker(&mut self, info: &WorkerInfo, now: TimeMs) -> (usize, bool) {
         let next_rack = self.racks.len();
         let rack = *self.racks.entry(info.rack.clone()).or_insert(next_rack);
         if let Some(index) = self.index_of(&info.worker) {
@@ -141,8 +145,8 @@
             entry.rack = rack;
             entry.accelerators = info.accelerators;
             if is_back {
-                entry.is_known = false;
-                entry.silent_orders = 0;
+                entry.has_inventory = false;
+                entry.unanswered_orders = 0;
             }
             return (index, is_back);
         }
@@ -153,66 +157,66 @@
             rack,
             accelerators: info.accelerators,
             listing: Listing::Live,
-            is_known: false,
-            silent_orders: 0,
-            silent_since: now,
-            next_renew: now,
+            has_inventory: false,
+            unanswered_orders: 0,
+            unresponsive_since: now,
+            next_renew_at: now,
             is_renewing: false,
-            judgement: Judgement::Trusted,
+            health: WorkerHealth::Trusted,
             quarantines: 0,
-            evidence: BTreeSet::new(),
-            holds: Vec::new(),
-            foreign: 0,
+            failed_jobs: BTreeSet::new(),
+            allocations: Vec::new(),
+            untracked_mask: 0,
         });
         (index, true)
     }
 
-    /// `hold` books a gang's parts.
-    pub(super) fn hold(&mut self, parts: &[Part], hold: &Hold) {
+    /// `allocate` allocates the parts to a gang.
+    pub(super) fn allocate(&mut self, parts: &[Part], allocation: &Allocation) {
         for part in parts {
-            self.workers[part.worker].holds.push(Hold {
+            self.workers[part.worker].allocations.push(Allocation {
                 mask: part.mask,
-                ..hold.clone()
+                ..allocation.clone()
             });
         }
     }
 
-    /// `release` gives back what a gang holds on one worker.
+    /// `release` frees the accelerators of one worker that are allocated to a gang.
     pub(super) fn release(&mut self, worker: usize, gang_id: &GangId) {
         self.workers[worker]
-            .holds
-            .retain(|hold| hold.gang_id != *gang_id);
+            .allocations
+            .retain(|allocation| allocation.gang_id != *gang_id);
     }
 
-    /// `usable_pool` gives the accelerators that guarantees may rest on, held or not.
+    /// `usable_pool` returns the accelerators that guaranteed cells may be bound to, allocated or not.
     pub(super) fn usable_pool(&self) -> Pool {
         self.pool(|worker| {
             if worker.is_usable() {
-                worker.full() & !worker.foreign
+                worker.capacity_mask() & !worker.untracked_mask
             } else {
                 0
             }
         })
     }
 
-    /// `idle_pool` gives the accelerators where a gang can start now.
+    /// `idle_pool` returns the accelerators on which a gang can start now.
     pub(super) fn idle_pool(&self) -> Pool {
         self.pool(|worker| {
             if worker.is_usable() {
-                worker.full() & !worker.held()
+                worker.capacity_mask() & !worker.allocated_mask()
             } else {
                 0
             }
         })
     }
 
-    /// `listed_pool` gives all accelerators of the listed workers.
+    /// `listed_pool` returns all accelerators of the listed workers.
     pub(super) fn listed_pool(&self) -> Pool {
         self.pool(|worker| {
             if worker.listing == Listing::Unlisted {
                 0
             } else {
-                worker.full()
+                worker.capacity_mask()
             }
         })
     }
@@ -220,15 +224,15 @@
     fn pool(&self, free: impl Fn(&WorkerEntry) -> u32) -> Pool {
         let mut pool = Pool::default();
         for worker in &self.workers {
-            pool.push(worker.rack, free(worker), 0);
+            pool.add_worker(worker.rack, free(worker), 0);
         }
         pool
     }
 }
 
 impl Ledger {
-    /// `index_or_unlisted` finds a worker, or enters one that is named by a gang but not listed.
-    pub(super) fn index_or_unlisted(&mut self, worker: &WorkerName, now: TimeMs) -> usize {
+    /// `index_or_insert_unlisted` finds a worker, or adds one that only a gang names.
+    pub(super) fn index_or_insert_unlisted(&mut self, worker: &WorkerName, now: TimeMs) -> usize {
         if let Some(index) = self.index_of(worker) {
             return index;
         }
@@ -237,7 +241,7 @@
             rack: RackName::new(""),
             accelerators: 0,
         };
-        let (index, _) = self.list(&info, now);
+        let (index, _) = self.list_worker(&info, now);
         self.workers[index].listing = Listing::Unlisted;
         index
     }
--- a/ragwortwick-policy/src/zone/lifecycle.rs
+++ b/ragwortwick-policy/src/zone/lifecycle.rs
@@ -1,17 +1,17 @@
-//! Drives gangs through their chart and settles what becomes of their jobs.
+//! Runs the transitions of gangs and their actions on members.
 
 use ragwortwick_border::{
     CommitCommand, GangPhase, GangRef, JobPhase, ReserveCommand, StopCommand, WorkerCommand,
 };
 use ragwortwick_core::{DurationMs, GangId, TimeMs};
 
-use super::gang::{EndCause, Gang, GangAct, GangEvent, GangGuard, GangState, MemberState};
+use super::gang::{EndCause, Gang, GangAction, GangEvent, GangGuard, GangState, MemberState};
 use super::{ZoneNotice, ZonePlacer};
 
-/// A commit is only sent while the reservation outlasts it by this much.
+/// Time that must remain on the reservations for a commit to be sent.
 ///
-/// An entry host waits less than this for a worker; a shorter margin could commit a member whose
-/// neighbour's reservation lapses meanwhile, and half a gang would run.
+/// An entry host waits less than this for a worker; with a shorter margin another member's
+/// reservation could expire after the first commit, and only part of the gang would run.
 const COMMIT_MARGIN_MS: DurationMs = DurationMs(3_000);
 
 impl ZonePlacer {
@@ -29,10 +29,10 @@
         let (next, actions) = (step.next, step.actions.to_vec());
         if let Some(gang) = self.gangs.get_mut(gang_id) {
             gang.state = next;
-            gang.since = now;
+            gang.entered_at = now;
         }
         for action in actions {
-            self.act(now, gang_id, action);
+            self.run_action(now, gang_id, action);
         }
     }
 
@@ -46,14 +46,14 @@
         now + COMMIT_MARGIN_MS < gang.reserved_at + self.options.reserve_lease_ms
     }
 
-    fn act(&mut self, now: TimeMs, gang_id: &GangId, action: GangAct) {
+    fn run_action(&mut self, now: TimeMs, gang_id: &GangId, action: GangAction) {
         match action {
-            GangAct::ReserveMembers => self.reserve_members(now, gang_id),
-            GangAct::ReleaseMembers | GangAct::StopMembers => self.end_members(now, gang_id),
-            GangAct::RecordStart => self.record_start(gang_id),
-            GangAct::CommitReserved => self.commit_reserved(now, gang_id),
-            GangAct::AnnounceStart => self.announce_start(now, gang_id),
-            GangAct::Settle => self.settle(now, gang_id),
+            GangAction::ReserveMembers => self.reserve_members(now, gang_id),
+            GangAction::ReleaseMembers | GangAction::StopMembers => self.end_members(now, gang_id),
+            GangAction::RecordStart => self.record_start(gang_id),
+            GangAction::CommitReserved => self.commit_reserved(now, gang_id),
+            GangAction::AnnounceStart => self.announce_start(now, gang_id),
+            GangAction::Settle => self.settle(now, gang_id),
         }
     }
 
@@ -63,17 +63,17 @@
         };
         gang.reserved_at = now;
         let spec = gang.spec.clone();
-        let since_order = self.next_order + 1;
+        let valid_from_order = self.next_order + 1;
         let mut workers = Vec::new();
         for member in &mut gang.members {
             member.state = MemberState::Reserving;
-            member.since_order = since_order;
+            member.valid_from_order = valid_from_order;
             member.lease_until = now + self.options.reserve_lease_ms;
             workers.push(member.part.worker);
         }
         for worker in &workers {
-            for hold in &mut self.ledger.workers[*worker].holds {
-                hold.is_claim &= hold.gang_id != *gang_id;
+            for allocation in &mut self.ledger.workers[*worker].allocations {
+                allocation.is_claim &= allocation.gang_id != *gang_id;
             }
         }
         for worker in workers {
@@ -114,12 +114,12 @@
             .and_then(|g| g.member_on(worker));
         if let Some(member) = member {
             member.state = MemberState::Committing;
-            member.since_order = order.0;
+            member.valid_from_order = order.0;
             member.lease_until = now + lease_ms;
         }
     }
 
-    /// Releases or stops every member that holds or may hold something.
+    /// Releases or stops every member that has or may have accelerators.
     fn end_members(&mut self, now: TimeMs, gang_id: &GangId) {
         let Some(gang) = self.gangs.get(gang_id) else {
             return;
@@ -139,12 +139,12 @@
             match state {
                 MemberState::Idle => self.set_gone(worker, gang_id),
                 MemberState::Reserving | MemberState::Reserved => {
-                    self.leave(now, worker, gang_id, DurationMs(0), false);
+                    self.order_stop(now, worker, gang_id, DurationMs(0), false);
                 }
                 MemberState::Committing | MemberState::Running | MemberState::Unknown => {
-                    self.leave(now, worker, gang_id, grace_ms, true);
+                    self.order_stop(now, worker, gang_id, grace_ms, true);
                 }
-                MemberState::Leaving | MemberState::Ended(_) | MemberState::Gone => {}
+                MemberState::Stopping | MemberState::Ended(_) | MemberState::Gone => {}
             }
         }
     }
@@ -160,7 +160,7 @@
         }
     }
 
-    fn leave(
+    fn order_stop(
         &mut self,
         now: TimeMs,
         worker: usize,
@@ -184,27 +184,27 @@
             .get_mut(gang_id)
             .and_then(|g| g.member_on(worker));
         if let Some(member) = member {
-            member.state = MemberState::Leaving;
-            member.since_order = order.0;
+            member.state = MemberState::Stopping;
+            member.valid_from_order = order.0;
         }
         if is_committed {
             let entry = &mut self.ledger.workers[worker];
-            entry.next_renew = entry.next_renew.min(now + grace_ms + POLL_AFTER_STOP_MS);
+            entry.next_renew_at = entry.next_renew_at.min(now + grace_ms + POLL_AFTER_STOP_MS);
         }
     }
 
-    /// Sends a stop again that got no answer, until the member's lease has lapsed.
+    /// Repeats a stop or release that got no reply, until the member's lease expires or its worker is lost.
     pub(super) fn repeat_stop(&mut self, now: TimeMs, worker: usize, gang_id: &GangId) {
         let Some(gang) = self.gangs.get(gang_id) else {
             return;
         };
         let is_committed = gang.may_have_run;
-        let is_leaving = gang
+        let is_stopping = gang
             .members
             .iter()
-            .any(|m| m.part.worker == worker && m.state == MemberState::Leaving);
-        if is_leaving && !self.ledger.workers[worker].is_lost() {
-            self.leave(now, worker, gang_id, DurationMs(0), is_committed);
+            .any(|m| m.part.worker == worker && m.state == MemberState::Stopping);
+        if is_stopping && !self.ledger.workers[worker].is_lost() {
+            self.order_stop(now, worker, gang_id, DurationMs(0), is_committed);
         }
     }
 
@@ -239,17 +239,17 @@
         self.notice(notice);
     }
 
-    /// Looks at a gang after a member changed and moves it on where that decides something.
+    /// Fires the transitions that are due in a gang after one of its members changed.
     pub(super) fn check_gang(&mut self, now: TimeMs, gang_id: &GangId) {
         let Some(gang) = self.gangs.get(gang_id) else {
             return;
         };
         match gang.state {
-            GangState::Reserving if gang.is_found => self.resolve_found(now, gang_id),
+            GangState::Reserving if gang.is_recovered => self.resolve_recovered(now, gang_id),
             GangState::Reserving => self.check_reserving(now, gang_id),
             GangState::Committing | GangState::Running => self.check_running(now, gang_id),
             GangState::Stopping | GangState::Releasing => {
-                if gang.all(MemberState::is_over) && self.is_settleable(gang) {
+                if gang.all(MemberState::is_ended) && self.is_settleable(gang) {
                     self.fire(now, gang_id, GangEvent::AllEnded);
                 }
             }
@@ -294,7 +294,7 @@
             let cause = EndCause::MemberLost("a member is gone".to_owned());
             return self.abort(now, gang_id, cause);
         }
-        // A found gang's later answers may show more reservations to be committed.
+        // For a recovered gang, later replies may report reservations that are still to be committed.
         if gang.state == GangState::Committing && gang.any(|state| state == MemberState::Reserved) {
             self.commit_reserved(now, gang_id);
             return;
@@ -323,11 +323,11 @@
         }
     }
 
-    /// A found gang's end waits for its job's record, or the outcome would have nowhere to go.
+    /// The end of a recovered gang waits for its job's record, which is needed to store the outcome.
     fn is_settleable(&self, gang: &Gang) -> bool {
-        !gang.is_found || self.jobs.contains_key(&gang.job_id) || gang.is_orphan
+        !gang.is_recovered || self.jobs.contains_key(&gang.job_id) || gang.is_orphan
     }
 }
 
-/// Delay of the first look after a stop, so that the worker has had its grace and a little more.
+/// Delay of the first poll after the grace period of a stop.
 pub(super) const POLL_AFTER_STOP_MS: DurationMs = DurationMs(100);
--- a/ragwortwick-policy/src/zone/members.rs
+++ b/ragwortwick-policy/src/zone/members.rs
@@ -1,4 +1,4 @@
-//! What workers say of the members that they hold.
+//! Processing of the members that workers report.
 
 use ragwortwick_border::{GangOnWorker, GangPhase};
 use ragwortwick_core::{GangId, TimeMs};
@@ -7,16 +7,16 @@
 use super::{OrderId, ZonePlacer};
 
 impl ZonePlacer {
-    /// Takes in what a worker says that it holds.
+    /// Processes the full list of members that a worker reported.
     pub(super) fn on_members(
         &mut self,
         now: TimeMs,
         index: usize,
         order: OrderId,
-        held: &[GangOnWorker],
+        reported: &[GangOnWorker],
     ) {
-        let mut foreign = 0;
-        for item in held {
+        let mut untracked_mask = 0;
+        for item in reported {
             let gang_id = &item.spec.gang_id;
             let is_ours = self
                 .gangs
@@ -25,18 +25,18 @@
             if is_ours {
                 self.on_member_phase(now, index, order, item);
             } else {
-                if !is_over(item.phase) {
-                    foreign |= item.device_mask;
+                if !is_ended(item.phase) {
+                    untracked_mask |= item.device_mask;
                 }
-                self.clear_stranger(now, index, item);
+                self.clear_untracked(now, index, item);
             }
         }
-        if self.ledger.workers[index].foreign != foreign {
-            self.ledger.workers[index].foreign = foreign;
-            self.is_assign_due = true;
+        if self.ledger.workers[index].untracked_mask != untracked_mask {
+            self.ledger.workers[index].untracked_mask = untracked_mask;
+            self.is_rebind_due = true;
             self.is_place_due = true;
         }
-        self.note_absent(now, index, order, held);
+        self.mark_absent_gone(now, index, order, reported);
     }
 
     pub(super) fn on_member_phase(
@@ -51,7 +51,7 @@
         let Some(member) = self.gangs.get_mut(gang_id).and_then(|g| g.member_on(index)) else {
             return;
         };
-        if order.0 < member.since_order {
+        if order.0 < member.valid_from_order {
             return;
         }
         let next = match (item.phase, member.state) {
@@ -73,43 +73,46 @@
         }
         if item.phase == GangPhase::Failed {
             let job_id = item.spec.job_id.clone();
-            self.blame(now, index, &job_id, &item.reason);
+            self.attribute_failure(now, index, &job_id, &item.reason);
         }
         if item.phase == GangPhase::Finished {
-            self.clear_worker(now, index);
+            self.clear_failures(now, index);
         }
         self.set_member(now, index, gang_id, next);
     }
 
-    /// Members that a worker no longer has are gone, unless the answer is older than their state.
-    pub(super) fn note_absent(
+    /// Marks members as gone that a worker no longer reports, unless the reply is older than their state.
+    pub(super) fn mark_absent_gone(
         &mut self,
         now: TimeMs,
         index: usize,
         order: OrderId,
-        held: &[GangOnWorker],
+        reported: &[GangOnWorker],
     ) {
         let mut gone = Vec::new();
-        for hold in &self.ledger.workers[index].holds {
-            if held.iter().any(|item| item.spec.gang_id == hold.gang_id) {
+        for allocation in &self.ledger.workers[index].allocations {
+            if reported
+                .iter()
+                .any(|item| item.spec.gang_id == allocation.gang_id)
+            {
                 continue;
             }
-            let Some(gang) = self.gangs.get(&hold.gang_id) else {
+            let Some(gang) = self.gangs.get(&allocation.gang_id) else {
                 continue;
             };
             let member = gang.members.iter().find(|m| m.part.worker == index);
             let is_absent = member.is_some_and(|member| {
-                order.0 >= member.since_order
+                order.0 >= member.valid_from_order
                     && matches!(
                         member.state,
                         MemberState::Unknown
                             | MemberState::Reserved
                             | MemberState::Running
-                            | MemberState::Leaving
+                            | MemberState::Stopping
                     )
             });
             if is_absent {
-                gone.push(hold.gang_id.clone());
+                gone.push(allocation.gang_id.clone());
             }
         }
         for gang_id in gone {
@@ -142,13 +145,13 @@
         let Some(member) = self.gangs.get_mut(gang_id).and_then(|g| g.member_on(index)) else {
             return;
         };
-        // How a member ended is the last word on it.
+        // The outcome that a worker reported for a member is final.
         if matches!(member.state, MemberState::Ended(_)) {
             return;
         }
         member.state = to;
-        member.since_order = next_order;
-        if to.is_over() {
+        member.valid_from_order = next_order;
+        if to.is_ended() {
             self.ledger.release(index, gang_id);
             self.is_place_due = true;
         }
@@ -156,7 +159,7 @@
     }
 }
 
-pub(super) fn is_over(phase: GangPhase) -> bool {
+pub(super) fn is_ended(phase: GangPhase) -> bool {
     matches!(
         phase,
         GangPhase::Finished | GangPhase::Failed | GangPhase::Stopped
--- a/ragwortwick-policy/src/zone/messages.rs
+++ b/ragwortwick-policy/src/zone/messages.rs
@@ -1,4 +1,4 @@
-//! Events that reach a zone's placer and actions that it asks for.
+//! Events that a zone's placer processes and actions that it returns.
 
 use std::sync::Arc;
 
@@ -7,47 +7,47 @@
     CustomerName, DurationMs, Epoch, GangId, JobId, RackName, WorkerName, common,
 };
 
-/// `OrderId` pairs an order to a worker with its answer; it counts up within one ownership.
+/// `OrderId` matches an order to a worker with its reply; it increases within one ownership.
 #[common(key)]
 #[derive(Default)]
 pub struct OrderId(pub u64);
 
-/// `WorkerInfo` is what the platform's host list says of a worker.
+/// `WorkerInfo` is a worker's entry in the platform's host list.
 #[common]
 pub struct WorkerInfo {
     /// Name of the worker.
     pub worker: WorkerName,
-    /// Rack that it stands in.
+    /// Rack of the worker.
     pub rack: RackName,
     /// Number of its accelerators.
     pub accelerators: u32,
 }
 
-/// `ZoneEvent` is something that the placer learns.
+/// `ZoneEvent` is an input to the placer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ZoneEvent {
-    /// A table is in force here.
+    /// A table took effect on this host.
     TableInForce(Arc<AcceptedTable>),
-    /// This host owns the zone from now on under this epoch; nothing about gangs is known yet.
+    /// This host now owns the zone under this epoch; no gang is known to it yet.
     OwnershipGained {
         /// Epoch of the ownership.
         epoch: Epoch,
     },
-    /// This host owns the zone no longer; all that was known is dropped.
+    /// This host no longer owns the zone; the placer drops all its state.
     OwnershipLost,
     /// The platform lists a live worker.
     WorkerListed(WorkerInfo),
-    /// The platform lists the worker as leaving: no new gang, running ones finish.
+    /// The platform lists the worker as leaving: it gets no new gang, running gangs finish.
     WorkerLeaving(WorkerName),
     /// The platform no longer lists the worker.
     WorkerUnlisted(WorkerName),
-    /// A worker answered an order.
+    /// A worker replied to an order.
     WorkerReplied {
         /// The worker.
         worker: WorkerName,
-        /// The order answered.
+        /// The order that the reply belongs to.
         order: OrderId,
-        /// Its answer.
+        /// The worker's reply.
         reply: WorkerReply,
     },
     /// An order was not sent or got no reply in time; the worker may or may not have executed it.
@@ -57,43 +57,43 @@
         /// The order without a reply.
         order: OrderId,
     },
-    /// A job of this zone is in the store, new or found again; repeats of an event are harmless.
+    /// A job of this zone was read from the store; the event may repeat without effect.
     JobFound(JobRecord),
-    /// The caller cancels the job.
+    /// The client cancelled the job.
     JobCancelled(JobId),
-    /// The write that `RecordJob` asked for is in the store.
+    /// The store has the record that `RecordJob` asked to write.
     JobRecorded {
         /// The job.
         job_id: JobId,
-        /// Attempt in the record that was written.
+        /// Attempt number in the written record.
         attempt: u32,
     },
     /// Time passed.
     Tick,
 }
 
-/// `ZoneAction` is something that the placer asks its host to do.
+/// `ZoneAction` is an action that the host carries out for the placer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ZoneAction {
-    /// Send the command to the worker under the current epoch and answer with the order's id.
+    /// Send the command to the worker under the current epoch; the reply carries the order's id.
     Order {
-        /// Pairs the order with its answer.
+        /// Matches the order with its reply.
         order: OrderId,
         /// The worker.
         worker: WorkerName,
         /// The command.
         command: WorkerCommand,
     },
-    /// Write the job's record and answer `JobRecorded`; retried until written.
+    /// Write the job's record, retrying until it is stored, then send `JobRecorded`.
     RecordJob(JobRecord),
-    /// Log and count.
+    /// Write the notice to the log and the metrics.
     Notice(ZoneNotice),
 }
 
-/// `ZoneNotice` is a fact for logs and metrics.
+/// `ZoneNotice` is an event for logs and metrics.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ZoneNotice {
-    /// A gang runs whole.
+    /// All members of a gang run.
     GangStarted {
         /// The gang.
         gang_id: GangId,
@@ -110,17 +110,17 @@
         gang_id: GangId,
         /// Its customer.
         customer: CustomerName,
-        /// Why, as one sentence.
+        /// End reason as one sentence.
         reason: String,
     },
-    /// Borrowed work made room for a guarantee.
+    /// Borrowed work was stopped and its accelerators went to a guarantee.
     Reclaimed {
-        /// Customer that got its guarantee back.
+        /// Customer whose guarantee was reclaimed.
         customer: CustomerName,
-        /// Time from the call to free accelerators.
+        /// Time from the claim until its accelerators were free.
         reclaim_ms: DurationMs,
     },
-    /// A guarantee no longer fits on the workers that are left.
+    /// A guarantee does not fit the usable workers, or fits again when `cells_short` is 0.
     GuaranteeShort {
         /// The customer.
         customer: CustomerName,
@@ -136,7 +136,7 @@
         /// The failures or the success that led to the state.
         reason: String,
     },
-    /// A worker saw a higher epoch: another host owns the zone.
+    /// A worker reported a higher epoch: another host owns the zone.
     Fenced {
         /// The higher epoch.
         epoch: Epoch,
--- a/ragwortwick-policy/src/zone/mod.rs
+++ b/ragwortwick-policy/src/zone/mod.rs
@@ -1,13 +1,13 @@
-//! Placement of gangs in one zone: the state machine that the zone's owner drives.
+//! Placement of gangs in one zone: the state machine that the owning host of the zone runs.
 
 #[cfg(feature = "test-util")]
 mod audit;
+mod bindings;
 mod capacity;
 mod cells;
 mod claims;
 mod defrag;
 mod gang;
-mod homes;
 mod jobs;
 mod ledger;
 mod lifecycle;
--- a/ragwortwick-policy/src/zone/orders.rs
+++ b/ragwortwick-policy/src/zone/orders.rs
@@ -1,13 +1,13 @@
-//! Orders under way and what their answers, or the lack of them, mean for gangs.
+//! Pending orders, and the effect of their replies and timeouts on gangs.
 
 use ragwortwick_border::{WorkerCommand, WorkerOutcome, WorkerReply};
 use ragwortwick_core::{GangId, TimeMs, WorkerName, common};
 
 use super::gang::{EndCause, GangEvent, GangState, MemberState};
-use super::ledger::LOST_AFTER_SILENT_ORDERS;
+use super::ledger::LOST_AFTER_UNANSWERED_ORDERS;
 use super::{OrderId, ZoneNotice, ZonePlacer};
 
-/// `OrderKind` is what an order under way asks for.
+/// `OrderKind` is the request of a pending order.
 #[common]
 pub(super) enum OrderKind {
     Inventory,
@@ -19,7 +19,7 @@
     Forget,
 }
 
-/// `PendingOrder` is an order without answer yet.
+/// `PendingOrder` is an order that awaits its reply.
 #[common]
 pub(super) struct PendingOrder {
     pub(super) worker: usize,
@@ -58,19 +58,19 @@
         order: OrderId,
         reply: &WorkerReply,
     ) {
-        let Some(pending) = self.orders.remove(&order) else {
+        let Some(pending) = self.pending_orders.remove(&order) else {
             return;
         };
-        // An epoch above ours means that another host owns the zone. Acting on would be refused
-        // member by member and could leave a gang half started, so this owner stops at once.
+        // A higher epoch means that another host owns the zone. Workers would refuse further orders one by
+        // one, which could leave a gang partially started, so this owner stops at once.
         if reply.highest_epoch > self.epoch || reply.outcome == WorkerOutcome::StaleEpoch {
             let epoch = reply.highest_epoch;
-            self.forget_all();
+            self.clear_state();
             self.notice(ZoneNotice::Fenced { epoch });
             return;
         }
         debug_assert_eq!(self.ledger.index_of(worker), Some(pending.worker));
-        self.heard_from(pending.worker);
+        self.mark_responsive(pending.worker);
         let index = pending.worker;
         match pending.kind {
             OrderKind::Inventory => self.on_inventory(now, index, order, &reply.gangs),
@@ -79,10 +79,10 @@
                 self.on_members(now, index, order, &reply.gangs);
             }
             OrderKind::Reserve(gang_id) => {
-                self.on_reserve_answer(now, index, &gang_id, reply.outcome);
+                self.on_reserve_reply(now, index, &gang_id, reply.outcome);
             }
             OrderKind::Commit(gang_id) => {
-                self.on_commit_answer(now, index, &gang_id, reply.outcome);
+                self.on_commit_reply(now, index, &gang_id, reply.outcome);
             }
             OrderKind::Release(gang_id) => {
                 self.set_member(now, index, &gang_id, MemberState::Gone);
@@ -97,31 +97,31 @@
     }
 
     pub(super) fn on_order_timed_out(&mut self, now: TimeMs, _worker: &WorkerName, order: OrderId) {
-        let Some(pending) = self.orders.remove(&order) else {
+        let Some(pending) = self.pending_orders.remove(&order) else {
             return;
         };
         let index = pending.worker;
         let entry = &mut self.ledger.workers[index];
-        if entry.silent_orders == 0 {
-            entry.silent_since = now;
+        if entry.unanswered_orders == 0 {
+            entry.unresponsive_since = now;
         }
-        entry.silent_orders += 1;
-        if entry.silent_orders == LOST_AFTER_SILENT_ORDERS {
-            self.is_assign_due = true;
+        entry.unanswered_orders += 1;
+        if entry.unanswered_orders == LOST_AFTER_UNANSWERED_ORDERS {
+            self.is_rebind_due = true;
             self.is_place_due = true;
         }
         match pending.kind {
             OrderKind::Inventory | OrderKind::Renew => {
                 let entry = &mut self.ledger.workers[index];
                 entry.is_renewing = false;
-                entry.next_renew = now + self.options.renew_interval_ms;
+                entry.next_renew_at = now + self.options.renew_interval_ms;
             }
-            // The member may hold its reservation: the gang is given up and the release is sent.
+            // The worker may have made the reservation: abort the gang, which sends the release.
             OrderKind::Reserve(gang_id) => {
-                self.avoid_worker(&gang_id, index);
+                self.exclude_worker(&gang_id, index);
                 self.abort(now, &gang_id, EndCause::Refused("no answer".to_owned()));
             }
-            // The member may run. Asking again is harmless, and only an answer settles it.
+            // The member may run. A commit can be repeated safely, and only a reply shows the state.
             OrderKind::Commit(gang_id) => self.on_commit_timed_out(now, index, &gang_id),
             OrderKind::Release(gang_id) | OrderKind::Stop(gang_id) => {
                 self.repeat_stop(now, index, &gang_id);
@@ -130,16 +130,16 @@
         }
     }
 
-    fn heard_from(&mut self, index: usize) {
+    fn mark_responsive(&mut self, index: usize) {
         let entry = &mut self.ledger.workers[index];
-        if entry.silent_orders >= LOST_AFTER_SILENT_ORDERS {
-            self.is_assign_due = true;
+        if entry.unanswered_orders >= LOST_AFTER_UNANSWERED_ORDERS {
+            self.is_rebind_due = true;
             self.is_place_due = true;
         }
-        entry.silent_orders = 0;
+        entry.unanswered_orders = 0;
     }
 
-    fn on_reserve_answer(
+    fn on_reserve_reply(
         &mut self,
         now: TimeMs,
         index: usize,
@@ -163,18 +163,18 @@
             MemberState::Reserving,
             MemberState::Gone,
         );
-        // The ledger and the worker disagree, or it can't start anything: read its inventory.
-        self.ledger.workers[index].next_renew = now;
+        // The ledger differs from the worker, or the worker cannot start members: read its inventory.
+        self.ledger.workers[index].next_renew_at = now;
         if outcome == WorkerOutcome::Failing
             && let Some(job_id) = self.gangs.get(gang_id).map(|gang| gang.job_id.clone())
         {
-            self.blame(now, index, &job_id, "it refused to start");
+            self.attribute_failure(now, index, &job_id, "it refused to start");
         }
-        self.avoid_worker(gang_id, index);
+        self.exclude_worker(gang_id, index);
         self.abort(now, gang_id, EndCause::Refused(outcome.to_string()));
     }
 
-    fn on_commit_answer(
+    fn on_commit_reply(
         &mut self,
         now: TimeMs,
         index: usize,
@@ -208,7 +208,7 @@
         if let EndCause::Failed(reason) = &cause
             && let Some(job_id) = self.gangs.get(gang_id).map(|gang| gang.job_id.clone())
         {
-            self.blame(now, index, &job_id, reason);
+            self.attribute_failure(now, index, &job_id, reason);
         }
         self.abort(now, gang_id, cause);
     }
@@ -221,7 +221,7 @@
         if gang.state != GangState::Committing {
             return;
         }
-        if now < gang.since + self.options.reserve_lease_ms {
+        if now < gang.entered_at + self.options.reserve_lease_ms {
             self.commit_member(now, index, gang_id);
         } else {
             let cause = EndCause::MemberLost("a commit got no answer".to_owned());
@@ -235,8 +235,8 @@
         }
     }
 
-    /// Keeps a job off a worker that refused it.
-    fn avoid_worker(&mut self, gang_id: &GangId, index: usize) {
+    /// Excludes a worker that refused the job from its next placements.
+    fn exclude_worker(&mut self, gang_id: &GangId, index: usize) {
         let job_id = self.gangs.get(gang_id).map(|gang| gang.job_id.clone());
         if let Some(job) = job_id.and_then(|job_id| self.jobs.get_mut(&job_id)) {
             job.refused_by.insert(index);
--- a/ragwortwick-policy/src/zone/pool.rs
+++ b/ragwortwick-policy/src/zone/pool.rs
@@ -1,26 +1,26 @@
-//! Free accelerators of a zone and the choice of cells among them.
+//! Free accelerators of a zone and the selection of cells among them.
 //!
 //! A cell of up to eight accelerators is an aligned block of one worker; a larger one is whole
 //! blocks of eight in one rack. Sizes are powers of two, so taking a cell of size `n` always costs
-//! exactly `n / m` cells of each smaller size `m`: largest first packs whenever any order does.
+//! exactly `n / m` cells of each smaller size `m`: if any order packs, largest first does too.
 
 use super::cells::{Cell, Part};
 
-/// Accelerators in the largest cell that one worker holds.
-pub(super) const BLOCK: u32 = 8;
+/// Accelerators in the largest cell on a single worker.
+pub(super) const BLOCK_SIZE: u32 = 8;
 
-/// Sizes of cells, the largest first.
-pub(super) const SIZES: [u32; 7] = [64, 32, 16, 8, 4, 2, 1];
+/// Cell sizes, largest first.
+pub(super) const CELL_SIZES: [u32; 7] = [64, 32, 16, 8, 4, 2, 1];
 
 /// `Pool` is a set of free accelerators, by worker.
 #[derive(Clone, Debug)]
 pub(super) struct Pool {
     pub(super) free: Vec<u32>,
     pub(super) rack_of: Vec<usize>,
-    /// Accelerators to be taken last.
+    /// Accelerators to take last.
     pub(super) avoid: Vec<u32>,
-    /// Blocks in the cell that is worth keeping whole; breaking one is the last choice.
-    pub(super) rack_unit: u32,
+    /// Blocks in a large cell; splitting a whole large cell is the last choice.
+    pub(super) large_cell_blocks: u32,
     pub(super) steps: u64,
 }
 
@@ -30,38 +30,41 @@
             free: Vec::new(),
             rack_of: Vec::new(),
             avoid: Vec::new(),
-            rack_unit: 1,
+            large_cell_blocks: 1,
             steps: 0,
         }
     }
 }
 
 impl Pool {
-    /// `push` adds a worker's free accelerators.
-    pub(super) fn push(&mut self, rack: usize, free: u32, avoid: u32) {
+    /// `add_worker` adds a worker's free accelerators.
+    pub(super) fn add_worker(&mut self, rack: usize, free: u32, avoid: u32) {
         self.rack_of.push(rack);
         self.free.push(free);
         self.avoid.push(avoid);
     }
 
-    /// `count` tells how many cells of this size are free at once.
-    pub(super) fn count(&self, size: u32) -> u32 {
-        if size <= BLOCK {
-            return self.free.iter().map(|free| blocks_in(*free, size)).sum();
+    /// `cell_count` returns how many cells of this size are free at the same time.
+    pub(super) fn cell_count(&self, size: u32) -> u32 {
+        if size <= BLOCK_SIZE {
+            return self.free.iter().map(|free| count_blocks(*free, size)).sum();
         }
         let whole = self.whole_by_rack();
-        whole.iter().map(|blocks| blocks / (size / BLOCK)).sum()
+        whole
+            .iter()
+            .map(|blocks| blocks / (size / BLOCK_SIZE))
+            .sum()
     }
 
-    /// `take_shape` takes equal cells, all or none of them.
+    /// `take_shape` takes the given number of equal cells, or none.
     pub(super) fn take_shape(&mut self, cells: u32, size: u32) -> Option<Vec<Cell>> {
-        if size <= BLOCK && cells > 1 {
+        if size <= BLOCK_SIZE && cells > 1 {
             return self.take_blocks(cells, size);
         }
         let before = self.free.clone();
         let mut taken = Vec::new();
         for _ in 0..cells {
-            let Some(cell) = self.take(size) else {
+            let Some(cell) = self.take_cell(size) else {
                 self.free = before;
                 return None;
             };
@@ -70,12 +73,12 @@
         Some(taken)
     }
 
-    /// `take` takes the cell whose loss harms the larger cells least.
-    pub(super) fn take(&mut self, size: u32) -> Option<Cell> {
-        let parts = if size <= BLOCK {
+    /// `take_cell` takes the free cell that splits the fewest larger cells.
+    pub(super) fn take_cell(&mut self, size: u32) -> Option<Cell> {
+        let parts = if size <= BLOCK_SIZE {
             self.best_block(size)?
         } else {
-            self.best_rack(size)?
+            self.best_rack_cell(size)?
         };
         for part in &parts {
             self.free[part.worker] &= !part.mask;
@@ -83,16 +86,16 @@
         Some(Cell { size, parts })
     }
 
-    /// Takes many blocks in one scan: blocks of one size never overlap, so one order serves all.
+    /// Takes many blocks in one scan: blocks of one size never overlap, so they are ranked once.
     fn take_blocks(&mut self, cells: u32, size: u32) -> Option<Vec<Cell>> {
-        let mut choices = self.score_blocks(size);
-        if choices.len() < cells as usize {
+        let mut candidates = self.score_blocks(size);
+        if candidates.len() < cells as usize {
             return None;
         }
-        choices.sort_unstable();
-        choices.truncate(cells as usize);
+        candidates.sort_unstable();
+        candidates.truncate(cells as usize);
         let mut taken = Vec::new();
-        for BlockScore { worker, mask, .. } in choices {
+        for BlockScore { worker, mask, .. } in candidates {
             self.free[worker] &= !mask;
             let parts = vec![Part { worker, mask }];
             taken.push(Cell { size, parts });
@@ -115,14 +118,14 @@
                 continue;
             }
             let rack = self.rack_of[worker];
-            for mask in aligned(*free, size) {
-                let around = containing(*free, mask, size);
-                let opens_block = around >= BLOCK;
+            for mask in aligned_blocks(*free, size) {
+                let enclosing_size = enclosing_block_size(*free, mask, size);
+                let opens_block = enclosing_size >= BLOCK_SIZE;
                 scores.push(BlockScore {
-                    breaks_large: opens_block && whole[rack].is_multiple_of(self.rack_unit),
+                    breaks_large: opens_block && whole[rack].is_multiple_of(self.large_cell_blocks),
                     is_avoided: mask & self.avoid[worker] != 0,
-                    around,
-                    // A whole block that is opened costs the rack one; take it where fewest are left.
+                    enclosing_size,
+                    // A split block costs its rack one whole block: split where the fewest are left.
                     rack_blocks: if opens_block { whole[rack] } else { 0 },
                     rack,
                     worker,
@@ -133,8 +136,8 @@
         scores
     }
 
-    fn best_rack(&mut self, size: u32) -> Option<Vec<Part>> {
-        let need = size / BLOCK;
+    fn best_rack_cell(&mut self, size: u32) -> Option<Vec<Part>> {
+        let needed = size / BLOCK_SIZE;
         let mut racks: Vec<RackBlocks> = Vec::new();
         for (worker, free) in self.free.iter().enumerate() {
             self.steps += 1;
@@ -142,9 +145,9 @@
             if racks.len() <= rack {
                 racks.resize_with(rack + 1, RackBlocks::default);
             }
-            for mask in aligned(*free, BLOCK) {
-                let avoided = mask & self.avoid[worker] != 0;
-                racks[rack].blocks.push((avoided, worker, mask));
+            for mask in aligned_blocks(*free, BLOCK_SIZE) {
+                let is_avoided = mask & self.avoid[worker] != 0;
+                racks[rack].blocks.push((is_avoided, worker, mask));
             }
         }
         for rack in &mut racks {
@@ -152,15 +155,15 @@
         }
         let best = racks
             .iter()
-            .filter(|rack| rack.blocks.len() >= need as usize)
+            .filter(|rack| rack.blocks.len() >= needed as usize)
             .min_by_key(|rack| {
-                let avoided = rack.blocks[need as usize - 1].0;
+                let is_avoided = rack.blocks[needed as usize - 1].0;
                 let blocks = u32::try_from(rack.blocks.len()).unwrap_or(u32::MAX);
-                let unit = self.rack_unit;
-                let harm = blocks / unit - (blocks - need) / unit > need / unit;
-                (harm, avoided, blocks)
+                let unit = self.large_cell_blocks;
+                let breaks_large = blocks / unit - (blocks - needed) / unit > needed / unit;
+                (breaks_large, is_avoided, blocks)
             })?;
-        let chosen = best.blocks.iter().take(need as usize);
+        let chosen = best.blocks.iter().take(needed as usize);
         Some(
             chosen
                 .map(|(_, worker, mask)| Part {
@@ -175,18 +178,18 @@
         let racks = self.rack_of.iter().max().map_or(0, |last| last + 1);
         let mut whole = vec![0; racks];
         for (worker, free) in self.free.iter().enumerate() {
-            whole[self.rack_of[worker]] += blocks_in(*free, BLOCK);
+            whole[self.rack_of[worker]] += count_blocks(*free, BLOCK_SIZE);
         }
         whole
     }
 }
 
-/// `BlockScore` orders free blocks, the one whose loss harms least first.
+/// `BlockScore` orders free blocks by how little taking them splits larger cells.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct BlockScore {
     breaks_large: bool,
     is_avoided: bool,
-    around: u32,
+    enclosing_size: u32,
     rack_blocks: u32,
     rack: usize,
     worker: usize,
@@ -198,36 +201,36 @@
     blocks: Vec<(bool, usize, u32)>,
 }
 
-/// `full_mask` gives the mask of a worker with this many accelerators.
+/// `full_mask` returns the mask of a worker with this many accelerators.
 pub(super) fn full_mask(accelerators: u32) -> u32 {
     1u32.checked_shl(accelerators)
         .map_or(u32::MAX, |above| above - 1)
 }
 
-/// `aligned` lists the free aligned blocks of one size.
-pub(super) fn aligned(free: u32, size: u32) -> impl Iterator<Item = u32> {
+/// `aligned_blocks` iterates over the free aligned blocks of one size.
+pub(super) fn aligned_blocks(free: u32, size: u32) -> impl Iterator<Item = u32> {
     let block = full_mask(size);
     (0..32 / size)
         .map(move |index| block << (index * size))
         .filter(move |mask| free & mask == *mask)
 }
 
-fn blocks_in(free: u32, size: u32) -> u32 {
-    u32::try_from(aligned(free, size).count()).unwrap_or(0)
+fn count_blocks(free: u32, size: u32) -> u32 {
+    u32::try_from(aligned_blocks(free, size).count()).unwrap_or(0)
 }
 
-/// `containing` gives the size of the largest free aligned block around a block.
-fn containing(free: u32, mask: u32, size: u32) -> u32 {
+/// `enclosing_block_size` returns the size of the largest free aligned block that contains a block.
+fn enclosing_block_size(free: u32, mask: u32, size: u32) -> u32 {
     let mut known = size;
-    let mut around = size * 2;
-    while around <= BLOCK {
-        let start = mask.trailing_zeros() / around * around;
-        let wide = full_mask(around) << start;
+    let mut enclosing_size = size * 2;
+    while enclosing_size <= BLOCK_SIZE {
+        let start = mask.trailing_zeros() / enclosing_size * enclosing_size;
+        let wide = full_mask(enclosing_size) << start;
         if free & wide != wide {
             break;
         }
-        known = around;
-        around *= 2;
+        known = enclosing_size;
+        enclosing_size *= 2;
     }
     known
 }
--- a/ragwortwick-policy/src/zone/queue.rs
+++ b/ragwortwick-policy/src/zone/queue.rs
@@ -1,4 +1,4 @@
-//! Waiting jobs and the order in which they are tried.
+//! Waiting jobs and the order in which they are placed.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -9,26 +9,26 @@
 #[derive(Clone, Debug)]
 pub(super) struct Job {
     pub(super) record: JobRecord,
-    /// When this owner heard of it, on the owner's clock.
+    /// When this owner first read the job, on the owner's clock.
     pub(super) found_at: TimeMs,
     pub(super) was_found_in_recovery: bool,
     /// Highest attempt number used.
     pub(super) attempt: u32,
-    /// Highest attempt that this owner started or took over.
+    /// Highest attempt that this owner started or recovered.
     pub(super) owned_attempt: u32,
     pub(super) active: Option<GangId>,
-    /// Not tried before this.
-    pub(super) hold_until: TimeMs,
-    /// Workers on which a member of it failed.
+    /// The job is not placed before this time.
+    pub(super) retry_at: TimeMs,
+    /// Workers on which a member of the job failed.
     pub(super) failed_on: BTreeSet<usize>,
-    /// Workers that refused it since it last ran.
+    /// Workers that refused the job since it last ran.
     pub(super) refused_by: BTreeSet<usize>,
-    /// A final record was asked for; only its confirmation is awaited.
+    /// Whether the final record was requested; only its confirmation is outstanding.
     pub(super) is_done: bool,
-    /// Ended gangs that their workers may forget once the record is written.
+    /// Ended gangs that their workers are told to forget once the record is written.
     pub(super) to_forget: Vec<(usize, GangId)>,
-    /// Why it waits, for its caller.
-    pub(super) why: String,
+    /// Why the job waits or ended, as shown to its client.
+    pub(super) explanation: String,
 }
 
 impl Job {
@@ -40,12 +40,12 @@
             was_found_in_recovery,
             owned_attempt: 0,
             active: None,
-            hold_until: now,
+            retry_at: now,
             failed_on: BTreeSet::new(),
             refused_by: BTreeSet::new(),
             is_done: false,
             to_forget: Vec::new(),
-            why: String::new(),
+            explanation: String::new(),
         }
     }
 
@@ -53,8 +53,8 @@
         self.active.is_none() && !self.is_done
     }
 
-    /// `start_is_on_record` tells whether a start that must not be repeated was recorded.
-    pub(super) fn start_is_on_record(&self) -> bool {
+    /// `has_recorded_start` returns whether a start that must not be repeated was recorded.
+    pub(super) fn has_recorded_start(&self) -> bool {
         !self.record.spec.repeatable
             && matches!(
                 self.record.phase,
@@ -63,7 +63,7 @@
     }
 }
 
-/// `is_final` tells whether a job in this phase is over.
+/// `is_final` returns whether a job in this phase has ended.
 pub(super) fn is_final(phase: JobPhase) -> bool {
     matches!(
         phase,
@@ -71,7 +71,7 @@
     )
 }
 
-/// `Rank` orders waiting jobs, the smallest first.
+/// `Rank` orders waiting jobs, smallest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Rank {
     is_routine: bool,
@@ -79,12 +79,12 @@
     accepted_at_ms: u64,
 }
 
-/// Longest run time that a declaration can add to a job's rank: a hint may not postpone for ever.
+/// Longest declared run time that counts in a job's rank, so that a hint cannot postpone a job for ever.
 const MAX_HINT_MS: u64 = 3_600_000;
 
-/// `rank` puts urgent work first, then the earliest time of acceptance plus declared run time.
+/// `rank` orders urgent jobs first, then by acceptance time plus weighted declared run time.
 ///
-/// Short work passes long work, but only by the declared difference, so nothing starves.
+/// A short job overtakes a long one only by the declared difference, so no job starves.
 pub(super) fn rank(job: &Job, weights: &Weights) -> Rank {
     let spec = &job.record.spec;
     let weight = weights.weight_of(job);
@@ -107,7 +107,7 @@
     (hint_ms as f64 / weight.clamp(0.1, 10.0)) as u64
 }
 
-/// `Weights` is what the table in force says of customers and classes.
+/// `Weights` holds the weights and urgent classes of the table in force.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Weights {
     urgent: BTreeSet<(String, String)>,
@@ -149,9 +149,9 @@
     (spec.customer.to_string(), spec.class.to_string())
 }
 
-/// `EndedJobs` remembers the last jobs that ended.
+/// `EndedJobs` keeps the phases of the last jobs that ended.
 ///
-/// A listing read before the final record was written would otherwise bring a finished job back
+/// Without it, a listing read before the final record was written would add a finished job again
 /// and run it a second time.
 #[derive(Clone, Debug, Default)]
 pub(super) struct EndedJobs {
@@ -160,14 +160,14 @@
 }
 
 /// A listing is at most minutes old; a zone ends a few jobs a minute.
-const REMEMBERED_JOBS: usize = 4096;
+const MAX_ENDED_JOBS: usize = 4096;
 
 impl EndedJobs {
     pub(super) fn insert(&mut self, job_id: &JobId, phase: JobPhase) {
         if self.phases.insert(job_id.clone(), phase).is_none() {
             self.order.push_back(job_id.clone());
         }
-        if self.order.len() > REMEMBERED_JOBS
+        if self.order.len() > MAX_ENDED_JOBS
             && let Some(oldest) = self.order.pop_front()
         {
             self.phases.remove(&oldest);
--- a/ragwortwick-policy/src/zone/report.rs
+++ b/ragwortwick-policy/src/zone/report.rs
@@ -1,4 +1,4 @@
-//! What operators and callers are told about the zone.
+//! Status of the zone for operators and explanations of jobs for clients.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
         let idle = self.ledger.idle_pool();
         let free: u32 = idle.free.iter().map(|mask| mask.count_ones()).sum();
         let largest = self.largest_guaranteed();
-        let usable = idle.count(largest) * largest;
+        let usable = idle.cell_count(largest) * largest;
         let fragmentation = if free == 0 {
             0.0
         } else {
@@ -43,18 +43,20 @@
         let Some(table) = &self.table else {
             return Vec::new();
         };
-        let mut by_kind: BTreeMap<(&CustomerName, u32), HomeCount> = BTreeMap::new();
-        for home in &self.homes.list {
-            let counted = by_kind.entry((&home.customer, home.size)).or_default();
-            counted.short += u32::from(home.is_short());
-            counted.used += u32::from(!home.is_unused());
+        let mut by_kind: BTreeMap<(&CustomerName, u32), BindingCount> = BTreeMap::new();
+        for binding in &self.bindings.list {
+            let counted = by_kind
+                .entry((&binding.customer, binding.size))
+                .or_default();
+            counted.short += u32::from(binding.is_unbound());
+            counted.used += u32::from(!binding.is_unused());
         }
         let mut rows = Vec::new();
         for row in &table.table.guarantees {
             if row.zone != self.zone {
                 continue;
             }
-            // Rows of one customer and size share their homes; each takes what is left.
+            // Rows of one customer and size share their bindings; each takes what is left of the counts.
             let key = (&row.customer, row.shape.cell_accelerators);
             let left = by_kind.entry(key).or_default();
             let cells_short = left.short.min(row.shape.cells);
@@ -82,8 +84,8 @@
                 .unwrap_or_else(|| "".into()),
             state: entry.state().to_owned(),
             accelerators: entry.accelerators,
-            free: (entry.full() & !entry.held()).count_ones(),
-            reason: entry.evidence_text(),
+            free: (entry.capacity_mask() & !entry.allocated_mask()).count_ones(),
+            reason: entry.failure_text(),
         };
         self.ledger.workers.iter().map(status).collect()
     }
@@ -94,7 +96,7 @@
             return Some(format!("it ended: {phase}"));
         };
         if job.is_done {
-            return Some(job.why.clone());
+            return Some(job.explanation.clone());
         }
         let Some(gang) = job.active.as_ref().and_then(|id| self.gangs.get(id)) else {
             return Some(self.explain_waiting(now, job));
@@ -117,42 +119,42 @@
     fn explain_waiting(&self, now: TimeMs, job: &super::queue::Job) -> String {
         let shape = &job.record.spec.shape;
         let waited_s = now.since(job.found_at).0 / 1000;
-        let free = self.ledger.idle_pool().count(shape.cell_accelerators);
+        let free = self.ledger.idle_pool().cell_count(shape.cell_accelerators);
         let mut text = format!(
             "waiting for {waited_s} s for {} cells of {} accelerators; {free} such cells are idle \
              and its customer's guarantee is in use or too small",
             shape.cells, shape.cell_accelerators
         );
-        if free >= shape.cells && self.kept_share() > 0.0 {
-            // An operator who sees idle accelerators beside a waiting job must learn why.
+        if free >= shape.cells && self.reserved_share() > 0.0 {
+            // Explains to operators why a job waits although enough accelerators are idle.
             text.push_str(
                 "; the table's weight of fragmentation keeps a share of the zone idle from work \
                  beyond guarantees",
             );
         }
-        if !job.why.is_empty() {
+        if !job.explanation.is_empty() {
             text.push_str("; ");
-            text.push_str(&job.why);
+            text.push_str(&job.explanation);
         }
         text
     }
 }
 
 #[derive(Default)]
-struct HomeCount {
+struct BindingCount {
     used: u32,
     short: u32,
 }
 
 impl WorkerEntry {
-    fn evidence_text(&self) -> String {
+    fn failure_text(&self) -> String {
         if self.is_lost() {
-            return format!("{} orders in a row without answer", self.silent_orders);
+            return format!("{} orders in a row without answer", self.unanswered_orders);
         }
-        if self.evidence.is_empty() {
+        if self.failed_jobs.is_empty() {
             return String::new();
         }
-        let jobs: Vec<&str> = self.evidence.iter().map(JobId::as_str).collect();
+        let jobs: Vec<&str> = self.failed_jobs.iter().map(JobId::as_str).collect();
         format!("jobs failed on it: {}", jobs.join(", "))
     }
 }
--- a/ragwortwick-policy/src/zone/settle.rs
+++ b/ragwortwick-policy/src/zone/settle.rs
@@ -1,13 +1,13 @@
-//! What becomes of a job when its gang has ended.
+//! Settlement of a job after its gang has ended.
 
 use ragwortwick_border::{GangRef, JobPhase, WorkerCommand};
 use ragwortwick_core::{DurationMs, GangId, JobId, TimeMs};
 
+use super::bindings::CellBinding;
 use super::gang::{EndCause, Gang, MemberState};
-use super::homes::Home;
 use super::{ZoneNotice, ZonePlacer};
 
-/// Wait after a refusal before the job is tried again.
+/// Delay after a refusal before the job is placed again.
 const REFUSED_BACKOFF_MS: DurationMs = DurationMs(500);
 
 impl ZonePlacer {
@@ -19,9 +19,9 @@
             self.ledger.release(member.part.worker, gang_id);
         }
         if !gang.is_borrowed {
-            self.unmark_homes(gang_id, gang.parts());
-            // Homes lie around covered work, so one that was short may find its place now.
-            self.is_assign_due |= self.homes.list.iter().any(Home::is_short);
+            self.mark_cells_unused(gang_id, gang.parts());
+            // Cells are bound around guaranteed work, so an unbound cell may fit now.
+            self.is_rebind_due |= self.bindings.list.iter().any(CellBinding::is_unbound);
         }
         self.is_place_due = true;
         let cause = gang.cause.clone().unwrap_or(EndCause::Finished);
@@ -45,7 +45,7 @@
             .collect();
         let Some(job) = self.jobs.get_mut(&gang.job_id) else {
             for worker in ended {
-                self.forget_on(now, worker, gang_id);
+                self.order_forget(now, worker, gang_id);
             }
             return;
         };
@@ -56,9 +56,9 @@
         }
         job.active = None;
         let is_repeatable = job.record.spec.repeatable;
-        // A start that an earlier owner recorded may have run on a worker that is silent now. Seeing
-        // only reservations proves nothing then, and a second start could run the job twice.
-        let may_have_run = gang.may_have_run || (gang.is_found && job.start_is_on_record());
+        // A start that an earlier owner recorded may have run on a worker that is unresponsive now.
+        // Reservations alone do not disprove that, and a second start could run the job twice.
+        let may_have_run = gang.may_have_run || (gang.is_recovered && job.has_recorded_start());
         match cause {
             EndCause::Finished => {
                 self.end_job(&gang.job_id, JobPhase::Finished, "it finished");
@@ -90,13 +90,13 @@
         let Some(job) = self.jobs.get_mut(job_id) else {
             return;
         };
-        job.hold_until = now + REFUSED_BACKOFF_MS;
-        // No commit was sent, so even a start that was recorded may be tried again.
-        let was_recorded = job.start_is_on_record();
+        job.retry_at = now + REFUSED_BACKOFF_MS;
+        // No commit was sent, so even a recorded start can be repeated.
+        let was_recorded = job.has_recorded_start();
         self.requeue(job_id, reason, was_recorded);
     }
 
-    /// Puts a job back into the queue; recorded where the store knows more than its acceptance.
+    /// Requeues a job, and records that where the store has a later state than its acceptance.
     pub(super) fn requeue(&mut self, job_id: &JobId, reason: &str, is_recorded: bool) {
         let Some(job) = self.jobs.get_mut(job_id) else {
             return;
@@ -104,7 +104,7 @@
         job.record.phase = JobPhase::Waiting;
         job.record.attempt = job.attempt;
         job.record.reason = format!("it waits again: {reason}");
-        job.why.clone_from(&job.record.reason);
+        job.explanation.clone_from(&job.record.reason);
         self.is_place_due = true;
         if is_recorded {
             let record = job.record.clone();
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Records a job's end; it is forgotten once the record is in the store.
+    /// Records a job's end; the job is removed once the record is stored.
     pub(super) fn end_job(&mut self, job_id: &JobId, phase: JobPhase, reason: &str) {
         let Some(job) = self.jobs.get_mut(job_id) else {
             return;
@@ -121,13 +121,13 @@
         job.record.phase = phase;
         job.record.attempt = job.attempt;
         reason.clone_into(&mut job.record.reason);
-        reason.clone_into(&mut job.why);
+        reason.clone_into(&mut job.explanation);
         let record = job.record.clone();
         self.ended_jobs.insert(job_id, phase);
         self.record(record);
     }
 
-    pub(super) fn forget_on(&mut self, now: TimeMs, worker: usize, gang_id: &GangId) {
+    pub(super) fn order_forget(&mut self, now: TimeMs, worker: usize, gang_id: &GangId) {
         let gang_id = gang_id.clone();
         self.order(now, worker, WorkerCommand::Forget(GangRef { gang_id }));
     }
--- a/ragwortwick-policy/src/zone/start.rs
+++ b/ragwortwick-policy/src/zone/start.rs
@@ -1,4 +1,4 @@
-//! The placement pass: which waiting job starts where, now.
+//! The placement pass, which selects the waiting jobs to start and their accelerators.
 
 use std::collections::BTreeSet;
 
@@ -8,38 +8,38 @@
 use super::ZonePlacer;
 use super::cells::{Cell, Part, merge_parts};
 use super::gang::{EndCause, Gang, GangEvent, Member, MemberState};
-use super::ledger::{Hold, WorkerEntry};
-use super::pool::{BLOCK, Pool, SIZES};
+use super::ledger::{Allocation, WorkerEntry};
+use super::pool::{BLOCK_SIZE, CELL_SIZES, Pool};
 use super::queue::{Rank, rank};
 
-/// A job within its guarantee that waited this long takes the guarantee back from younger work.
+/// Time after which a waiting job within its guarantee reclaims it from its customer's younger work.
 ///
-/// This is the stated bound on starvation, but for reclaim; shorter would let every large job stop
-/// its customer's small ones.
+/// This bounds starvation, apart from the time of the reclaim; a shorter time would let every large
+/// job stop its customer's small ones.
 pub(super) const STARVATION_MS: DurationMs = DurationMs(10 * 60_000);
 
-/// Added to the cost of stopping urgent work: it is stopped only where nothing else would do.
+/// Added to the cost of stopping urgent work, so that it is stopped only as a last resort.
 const URGENT_STOP_COST: u32 = 10_000;
 
-/// `Pass` is what one placement pass knows; rebuilt in part after every start.
-pub(super) struct Pass {
+/// `PlacementPass` is the state of one placement pass; all but `failed` is rebuilt after every start.
+pub(super) struct PlacementPass {
     pub(super) idle: Pool,
     pub(super) borrowed: Vec<u32>,
-    /// Accelerators of the largest gang that a reclaim on the worker would stop.
+    /// Size in accelerators of the largest gang that a reclaim on the worker would stop.
     pub(super) stop_cost: Vec<u32>,
-    pub(super) closed: Vec<u32>,
+    pub(super) unavailable: Vec<u32>,
     /// Accelerators that borrowed work may still take.
-    pub(super) spare: u32,
-    /// Shapes that found no place in this pass; equal ones need not be tried again.
+    pub(super) borrow_budget: u32,
+    /// Shapes that found no cells in this pass, so that equal ones are skipped.
     pub(super) failed: BTreeSet<(CustomerName, bool, bool, u32, u32)>,
 }
 
-/// `Request` is the shape that a job asks for.
+/// `PlacementRequest` is the shape of a waiting job and the conditions for its placement.
 #[expect(
     clippy::struct_excessive_bools,
     reason = "independent facts about one job"
 )]
-pub(super) struct Request {
+pub(super) struct PlacementRequest {
     pub(super) job_id: JobId,
     pub(super) customer: CustomerName,
     pub(super) cells: u32,
@@ -47,18 +47,18 @@
     pub(super) is_urgent: bool,
     pub(super) is_starved: bool,
     pub(super) is_repeatable: bool,
-    pub(super) is_patient: bool,
-    pub(super) avoided: BTreeSet<usize>,
+    pub(super) can_wait: bool,
+    pub(super) excluded_workers: BTreeSet<usize>,
 }
 
-impl Request {
+impl PlacementRequest {
     pub(super) fn accelerators(&self) -> u32 {
         self.cells.saturating_mul(self.size)
     }
 
-    /// Urgent work starts on whatever is idle; its place is never kept from it.
-    pub(super) fn is_beyond_spare(&self, pass: &Pass) -> bool {
-        !self.is_urgent && self.accelerators() > pass.spare
+    /// Whether a job exceeds the borrow budget; urgent work is exempt and may use reserved capacity.
+    pub(super) fn is_over_borrow_budget(&self, pass: &PlacementPass) -> bool {
+        !self.is_urgent && self.accelerators() > pass.borrow_budget
     }
 
     pub(super) fn is_routine_small(&self, largest: u32) -> bool {
@@ -70,7 +70,7 @@
     pub(super) fn place_waiting(&mut self, now: TimeMs) {
         let mut waiting: Vec<(Rank, JobId)> = Vec::new();
         for (job_id, job) in &self.jobs {
-            if job.is_waiting() && job.hold_until <= now && !self.is_start_barred(now, job) {
+            if job.is_waiting() && job.retry_at <= now && !self.is_start_blocked(now, job) {
                 waiting.push((rank(job, &self.weights), job_id.clone()));
             }
         }
@@ -88,34 +88,34 @@
         }
     }
 
-    fn new_pass(&self, failed: BTreeSet<(CustomerName, bool, bool, u32, u32)>) -> Pass {
+    fn new_pass(&self, failed: BTreeSet<(CustomerName, bool, bool, u32, u32)>) -> PlacementPass {
         let mut idle = self.ledger.idle_pool();
-        idle.avoid = self.homes.mask_by_worker(idle.free.len());
-        idle.rack_unit = (self.largest_guaranteed() / BLOCK).max(1);
+        idle.avoid = self.bindings.mask_by_worker(idle.free.len());
+        idle.large_cell_blocks = (self.largest_guaranteed() / BLOCK_SIZE).max(1);
         let workers = &self.ledger.workers;
-        let borrowed: Vec<u32> = workers.iter().map(WorkerEntry::borrowed).collect();
-        Pass {
-            spare: self.spare_for_borrowed(&idle, &borrowed),
+        let borrowed: Vec<u32> = workers.iter().map(WorkerEntry::borrowed_mask).collect();
+        PlacementPass {
+            borrow_budget: self.borrow_budget(&idle, &borrowed),
             idle,
             borrowed,
             stop_cost: self.stop_cost(|gang| gang.is_borrowed),
-            closed: self
+            unavailable: self
                 .ledger
                 .workers
                 .iter()
-                .map(WorkerEntry::closed)
+                .map(WorkerEntry::unavailable_mask)
                 .collect(),
             failed,
         }
     }
 
-    /// Whether a start there would break a large guaranteed cell that is whole.
-    fn opens_large_home(&self, cells: &[Cell]) -> bool {
+    /// Whether a start in these cells would split an unused large guaranteed cell.
+    fn opens_large_cell(&self, cells: &[Cell]) -> bool {
         let parts = merge_parts(cells);
         let largest = self.largest_guaranteed();
-        self.homes.list.iter().any(|home| {
-            let is_whole = home.size == largest && home.is_unused();
-            is_whole && home.parts.iter().any(|part| overlaps(&parts, *part))
+        self.bindings.list.iter().any(|binding| {
+            let is_whole = binding.size == largest && binding.is_unused();
+            is_whole && binding.parts.iter().any(|part| overlaps(&parts, *part))
         })
     }
 
@@ -138,11 +138,11 @@
         costs
     }
 
-    fn request_of(&self, now: TimeMs, job_id: &JobId) -> Request {
+    fn request_of(&self, now: TimeMs, job_id: &JobId) -> PlacementRequest {
         let job = &self.jobs[job_id];
         let spec = &job.record.spec;
         let waited = now.since(job.found_at);
-        Request {
+        PlacementRequest {
             job_id: job_id.clone(),
             customer: spec.customer.clone(),
             cells: spec.shape.cells,
@@ -150,48 +150,53 @@
             is_urgent: self.weights.is_urgent(job),
             is_starved: waited >= STARVATION_MS,
             is_repeatable: spec.repeatable,
-            is_patient: waited < self.patience(),
-            avoided: job.failed_on.union(&job.refused_by).copied().collect(),
+            can_wait: waited < self.max_borrow_wait(),
+            excluded_workers: job.failed_on.union(&job.refused_by).copied().collect(),
         }
     }
 
-    fn try_start(&mut self, now: TimeMs, request: &Request, pass: &mut Pass) -> bool {
+    fn try_start(
+        &mut self,
+        now: TimeMs,
+        request: &PlacementRequest,
+        pass: &mut PlacementPass,
+    ) -> bool {
         let shape = (
             request.customer.clone(),
             request.is_urgent || request.is_starved,
-            request.is_patient,
+            request.can_wait,
             request.cells,
             request.size,
         );
-        if request.avoided.is_empty() && pass.failed.contains(&shape) {
+        if request.excluded_workers.is_empty() && pass.failed.contains(&shape) {
             return false;
         }
-        let covered = self.find_covered(request, pass);
-        let opens_home = covered
+        let guaranteed = self.find_guaranteed(request, pass);
+        let opens_large_cell = guaranteed
             .as_ref()
-            .is_none_or(|cells| self.opens_large_home(cells));
-        if opens_home && let Some(cells) = self.find_fragment(request, pass) {
+            .is_none_or(|cells| self.opens_large_cell(cells));
+        if opens_large_cell && let Some(cells) = self.find_fragment(request, pass) {
             self.start_gang(now, request, &cells, true);
             return true;
         }
-        if covered.is_some()
-            && opens_home
+        if guaranteed.is_some()
+            && opens_large_cell
             && request.is_routine_small(self.largest_guaranteed())
             && let Some(cells) = self.find_idle(request, pass)
         {
-            // Borrowed work can be moved when the cell is wanted whole; covered work stays put.
+            // Unlike guaranteed work, borrowed work can be moved when the whole cell is needed.
             self.start_gang(now, request, &cells, true);
             return true;
         }
-        let is_free = covered
+        let is_free = guaranteed
             .as_ref()
             .is_some_and(|c| !is_conflicting(c, &pass.borrowed));
         if !is_free && let Some(cells) = self.find_borrowed(request, pass) {
-            // Idle accelerators elsewhere spare running work a checkpoint and its queue a setback.
+            // Idle accelerators elsewhere avoid the checkpoint and requeue of preempted work.
             self.start_gang(now, request, &cells, true);
             return true;
         }
-        if let Some(cells) = covered {
+        if let Some(cells) = guaranteed {
             self.start_gang(now, request, &cells, false);
             return true;
         }
@@ -204,29 +209,35 @@
     }
 
     pub(super) fn largest_guaranteed(&self) -> u32 {
-        let sizes = self.homes.list.iter().map(|home| home.size);
-        sizes.max().unwrap_or(SIZES[SIZES.len() - 1])
+        let sizes = self.bindings.list.iter().map(|binding| binding.size);
+        sizes.max().unwrap_or(CELL_SIZES[CELL_SIZES.len() - 1])
     }
 
-    fn start_gang(&mut self, now: TimeMs, request: &Request, cells: &[Cell], is_borrowed: bool) {
+    fn start_gang(
+        &mut self,
+        now: TimeMs,
+        request: &PlacementRequest,
+        cells: &[Cell],
+        is_borrowed: bool,
+    ) {
         let spec = self.spec_of(&request.job_id, cells, is_borrowed);
         let gang_id = spec.gang_id.clone();
         let parts = merge_parts(cells);
         let victims = self.victims_of(&parts);
         if !is_borrowed {
-            self.homes.mark(&request.customer, &parts);
+            self.bindings.mark_used(&request.customer, &parts);
         }
-        let hold = Hold {
+        let allocation = Allocation {
             gang_id: gang_id.clone(),
             mask: 0,
             is_borrowed,
             is_claim: !victims.is_empty(),
         };
-        self.ledger.hold(&parts, &hold);
+        self.ledger.allocate(&parts, &allocation);
         let members = parts.iter().map(|part| Member {
             part: *part,
             state: MemberState::Idle,
-            since_order: 0,
+            valid_from_order: 0,
             lease_until: now,
         });
         let gang = Gang {
@@ -236,9 +247,9 @@
             is_borrowed,
             cause: None,
             may_have_run: false,
-            is_found: false,
+            is_recovered: false,
             is_orphan: false,
-            since: now,
+            entered_at: now,
             reserved_at: now,
             spec,
         };
@@ -292,7 +303,7 @@
         .any(|part| part.worker == other.worker && part.mask & other.mask != 0)
 }
 
-/// A cell's tasks run on its first worker if it has one, else they are spread over its workers.
+/// Returns the tasks on a worker, at least 1; the tasks of a cell are spread evenly over its workers.
 fn tasks_on(cells: &[Cell], worker: usize, tasks_per_cell: u32) -> u32 {
     let tasks_of = |cell: &Cell| {
         let workers = u32::try_from(cell.parts.len()).unwrap_or(1);
--- a/ragwortwick-policy/src/zone/timers.rs
+++ b/ragwortwick-policy/src/zone/timers.rs
@@ -1,39 +1,39 @@
-//! What time makes due: lease renewals, lapsed leases, lost workers, late claims and trials.
+//! Timers: lease renewals, expired leases, lost workers, claim timeouts and trials.
 
 use ragwortwick_border::{RenewCommand, WorkerCommand};
 use ragwortwick_core::{DurationMs, GangId, TimeMs};
 
 use super::ZonePlacer;
 use super::gang::{EndCause, GangState, MemberState};
-use super::ledger::{Judgement, Listing};
+use super::ledger::{Listing, WorkerHealth};
 use super::placer::Ownership;
 use super::queue::Job;
-use super::recovery::SETTLE_MS;
+use super::recovery::MIN_RECOVERY_MS;
 
-/// A worker silent for this long loses its gangs; its members count as running until their lease
-/// has lapsed.
+/// Time after which the gangs of an unresponsive worker are aborted; its members count as running
+/// until their lease expires.
 ///
-/// Shorter would stop gangs over a brief cut, longer keeps the other members idle.
+/// A shorter time would stop gangs over a brief network cut, a longer one keeps the other members idle.
 const MEMBER_LOST_MS: DurationMs = DurationMs(10_000);
 
-/// A claim that is not free by then is given up; its job looks for another place.
-const CLAIM_LIMIT_MS: DurationMs = DurationMs(4_000);
+/// Time after which a claim whose accelerators are still in use is aborted and its job placed again.
+const CLAIM_TIMEOUT_MS: DurationMs = DurationMs(4_000);
 
-/// A found gang whose job's record never comes up is stopped after this.
-const ORPHAN_MS: DurationMs = DurationMs(30_000);
+/// Time after which a recovered gang without a job record is stopped.
+const ORPHAN_TIMEOUT_MS: DurationMs = DurationMs(30_000);
 
-/// Interval of looks at a worker on which a member is being stopped.
+/// Poll interval of a worker on which a member is being stopped.
 const STOP_POLL_MS: DurationMs = DurationMs(250);
 
-/// Interval of passes over waiting jobs while nothing changes; patience and starvation end by time.
-const PLACE_AGAIN_MS: DurationMs = DurationMs(5_000);
+/// Interval of placement passes while nothing changes, since waits and starvation bounds expire by time.
+const PLACE_INTERVAL_MS: DurationMs = DurationMs(5_000);
 
-/// Idle workers are asked this many times more rarely than busy ones.
+/// Factor by which the renewal interval of an idle worker is longer than that of a busy one.
 const IDLE_RENEW_FACTOR: u64 = 5;
 
 impl ZonePlacer {
     pub(super) fn run_timers(&mut self, now: TimeMs) {
-        if self.ownership == Ownership::Away {
+        if self.ownership == Ownership::NotOwner {
             return;
         }
         self.last_tick = now;
@@ -41,49 +41,49 @@
             self.renew_worker(now, index);
             self.start_trial(now, index);
         }
-        let watched: Vec<GangId> = self.gangs.keys().cloned().collect();
-        for gang_id in watched {
+        let gang_ids: Vec<GangId> = self.gangs.keys().cloned().collect();
+        for gang_id in gang_ids {
             self.run_gang_timers(now, &gang_id);
         }
-        // A hold ends exactly at its tick.
-        let is_hold_over = self
+        // A tick is scheduled exactly at `retry_at`.
+        let is_retry_due = self
             .jobs
             .values()
-            .any(|job| job.is_waiting() && job.hold_until == now);
-        if self.next_place <= now {
-            // A refusal may be over by now; keeping it would bar a job from its own guarantee.
+            .any(|job| job.is_waiting() && job.retry_at == now);
+        if self.next_place_at <= now {
+            // A refusal may no longer apply; keeping it could block a job from its own guarantee.
             for job in self.jobs.values_mut() {
                 job.refused_by.clear();
             }
         }
-        if self.next_place <= now || is_hold_over {
-            self.next_place = now + PLACE_AGAIN_MS;
+        if self.next_place_at <= now || is_retry_due {
+            self.next_place_at = now + PLACE_INTERVAL_MS;
             self.is_place_due = true;
         }
     }
 
     fn renew_worker(&mut self, now: TimeMs, index: usize) {
         let entry = &self.ledger.workers[index];
-        let is_due = entry.next_renew <= now && !entry.is_renewing;
+        let is_due = entry.next_renew_at <= now && !entry.is_renewing;
         if !is_due || entry.listing == Listing::Unlisted {
             return;
         }
         let mut gang_ids = Vec::new();
         let mut is_stopping = false;
-        for hold in &entry.holds {
-            let Some(gang) = self.gangs.get_mut(&hold.gang_id) else {
+        for allocation in &entry.allocations {
+            let Some(gang) = self.gangs.get_mut(&allocation.gang_id) else {
                 continue;
             };
             let Some(member) = gang.member_on(index) else {
                 continue;
             };
-            is_stopping |= member.state == MemberState::Leaving;
-            // A lost worker's leases must be able to lapse, or its gangs could never be settled.
+            is_stopping |= member.state == MemberState::Stopping;
+            // The leases on a lost worker must be able to expire, or its gangs could never be settled.
             if member.state == MemberState::Running && !entry.is_lost() {
-                gang_ids.push(hold.gang_id.clone());
+                gang_ids.push(allocation.gang_id.clone());
             }
         }
-        let is_idle = entry.holds.is_empty() && entry.is_known;
+        let is_idle = entry.allocations.is_empty() && entry.has_inventory;
         let interval = if is_stopping && !entry.is_lost() {
             STOP_POLL_MS
         } else if is_idle {
@@ -91,7 +91,7 @@
         } else {
             self.options.renew_interval_ms
         };
-        let command = if entry.is_known {
+        let command = if entry.has_inventory {
             WorkerCommand::Renew(RenewCommand {
                 gang_ids,
                 lease_ms: self.options.task_lease_ms,
@@ -100,17 +100,17 @@
             WorkerCommand::Inventory
         };
         let entry = &mut self.ledger.workers[index];
-        entry.next_renew = now + interval;
+        entry.next_renew_at = now + interval;
         entry.is_renewing = true;
         self.order(now, index, command);
     }
 
     fn start_trial(&mut self, now: TimeMs, index: usize) {
         let entry = &mut self.ledger.workers[index];
-        if let Judgement::Quarantined { trial_at } = entry.judgement
+        if let WorkerHealth::Quarantined { trial_at } = entry.health
             && trial_at <= now
         {
-            self.judge(index, Judgement::Trial, "its quarantine is over");
+            self.set_health(index, WorkerHealth::Trial, "its quarantine ended");
         }
     }
 
@@ -118,9 +118,9 @@
         let Some(gang) = self.gangs.get(gang_id) else {
             return;
         };
-        let age = now.since(gang.since);
+        let age = now.since(gang.entered_at);
         match gang.state {
-            GangState::Claiming if age >= CLAIM_LIMIT_MS => {
+            GangState::Claiming if age >= CLAIM_TIMEOUT_MS => {
                 let cause = EndCause::Refused("borrowed work did not leave in time".to_owned());
                 self.abort(now, gang_id, cause);
             }
@@ -129,49 +129,50 @@
                 self.abort(now, gang_id, cause);
             }
             GangState::Committing | GangState::Running | GangState::Reserving => {
-                self.drop_lost_members(now, gang_id);
+                self.abort_on_lost_member(now, gang_id);
             }
             _ => {}
         }
-        self.lapse_members(now, gang_id);
+        self.expire_members(now, gang_id);
         self.stop_orphan(now, gang_id);
     }
 
-    fn drop_lost_members(&mut self, now: TimeMs, gang_id: &GangId) {
+    fn abort_on_lost_member(&mut self, now: TimeMs, gang_id: &GangId) {
         let Some(gang) = self.gangs.get(gang_id) else {
             return;
         };
         let is_lost = gang.members.iter().any(|member| {
             let entry = &self.ledger.workers[member.part.worker];
-            let is_silent = entry.is_lost() && now.since(entry.silent_since) >= MEMBER_LOST_MS;
+            let is_unresponsive =
+                entry.is_lost() && now.since(entry.unresponsive_since) >= MEMBER_LOST_MS;
             let is_unlisted = entry.listing == Listing::Unlisted;
-            !member.state.is_over() && (is_unlisted || is_silent)
+            !member.state.is_ended() && (is_unlisted || is_unresponsive)
         });
-        if is_lost && !gang.is_found {
+        if is_lost && !gang.is_recovered {
             let cause = EndCause::MemberLost("a worker is lost".to_owned());
             self.abort(now, gang_id, cause);
         }
     }
 
-    /// Counts members as gone whose lease has lapsed without a renewal.
-    fn lapse_members(&mut self, now: TimeMs, gang_id: &GangId) {
+    /// Marks members as gone whose lease expired without a renewal.
+    fn expire_members(&mut self, now: TimeMs, gang_id: &GangId) {
         let Some(gang) = self.gangs.get(gang_id) else {
             return;
         };
-        let lapsed: Vec<usize> = gang
+        let expired: Vec<usize> = gang
             .members
             .iter()
-            .filter(|member| !member.state.is_over() && member.lease_until < now)
+            .filter(|member| !member.state.is_ended() && member.lease_until < now)
             .map(|member| member.part.worker)
             .collect();
-        for worker in lapsed {
+        for worker in expired {
             self.set_member(now, worker, gang_id, MemberState::Gone);
         }
     }
 
     fn stop_orphan(&mut self, now: TimeMs, gang_id: &GangId) {
         let is_placing = self.ownership == Ownership::Placing;
-        let is_old = now.since(self.owned_since) >= ORPHAN_MS;
+        let is_old = now.since(self.owned_since) >= ORPHAN_TIMEOUT_MS;
         let Some(gang) = self.gangs.get_mut(gang_id) else {
             return;
         };
@@ -187,31 +188,31 @@
         let mut due = Vec::new();
         for entry in &self.ledger.workers {
             if entry.listing != Listing::Unlisted && !entry.is_renewing {
-                due.push(entry.next_renew);
+                due.push(entry.next_renew_at);
             }
-            if let Judgement::Quarantined { trial_at } = entry.judgement {
+            if let WorkerHealth::Quarantined { trial_at } = entry.health {
                 due.push(trial_at);
             }
         }
         for gang in self.gangs.values() {
             if gang.state == GangState::Claiming {
-                due.push(gang.since + CLAIM_LIMIT_MS);
+                due.push(gang.entered_at + CLAIM_TIMEOUT_MS);
             }
             if !matches!(gang.state, GangState::Running) {
-                let leases = gang.members.iter().filter(|m| !m.state.is_over());
+                let leases = gang.members.iter().filter(|m| !m.state.is_ended());
                 due.extend(leases.map(|member| member.lease_until + DurationMs(1)));
             }
         }
         if self.ownership == Ownership::Recovering {
-            due.push(self.owned_since + SETTLE_MS);
+            due.push(self.owned_since + MIN_RECOVERY_MS);
         }
         if self.jobs.values().any(Job::is_waiting) {
-            due.push(self.next_place);
+            due.push(self.next_place_at);
         }
-        let held = self.jobs.values().filter(|job| job.is_waiting());
-        due.extend(held.map(|job| job.hold_until));
-        // What was due by the last tick and still stands waits for an event, not for time; counting
-        // it would make the owner tick without pause.
+        let waiting = self.jobs.values().filter(|job| job.is_waiting());
+        due.extend(waiting.map(|job| job.retry_at));
+        // A timer that was due by the last tick and is still set waits for an event, not for time;
+        // including it would make the owner tick in a busy loop.
         due.into_iter().filter(|at| *at > self.last_tick).min()
     }
 }
--- a/ragwortwick-policy/src/zone/tradeoff.rs
+++ b/ragwortwick-policy/src/zone/tradeoff.rs
@@ -1,69 +1,69 @@
-//! What the table's weights of completion and fragmentation decide in placement.
+//! Placement limits that follow from the table's weights of completion and fragmentation.
 
 use ragwortwick_core::DurationMs;
 
 use super::ZonePlacer;
 use super::pool::Pool;
 
-/// Longest that a borrowed start waits where both weights are equal.
-const PATIENCE_MS: f64 = 120_000.0;
+/// Longest wait of a borrowed start, in milliseconds, where both weights are equal.
+const BORROW_WAIT_MS: f64 = 120_000.0;
 
-/// Accelerators moved at once for one whole cell where both weights are equal.
-const MOVED_AT_EQUAL_WEIGHTS: f64 = 100.0;
+/// Maximum accelerators moved at once for one whole cell where both weights are equal.
+const MOVE_LIMIT_AT_EQUAL_WEIGHTS: f64 = 100.0;
 
-/// Share kept idle where only fragmentation has a weight.
+/// Share of capacity reserved where only fragmentation has a weight.
 ///
-/// More would leave borrowed work less than the naive policy leaves; docs/design/0020-placement.md
-/// has the curve.
-const MOST_KEPT_SHARE: f64 = 0.75;
+/// A larger share would leave borrowed work less than the naive policy does; see the curve in
+/// docs/design/0020-placement.md.
+const MAX_RESERVED_SHARE: f64 = 0.75;
 
-/// A zone of no more workers keeps nothing idle: its few jobs would wait beside empty workers.
-const WORKERS_OF_A_RACK: usize = 8;
+/// A zone with at most this many workers reserves nothing: its few jobs would wait while workers are idle.
+const SMALL_ZONE_WORKERS: usize = 8;
 
-/// Keeps a weight of 0 from dividing.
-const LEAST_WEIGHT: f64 = 0.01;
+/// Lower bound of the divisor, which avoids a division by a weight of 0.
+const MIN_WEIGHT: f64 = 0.01;
 
 impl ZonePlacer {
-    /// How many more accelerators borrowed work may take, so that a share stays idle.
+    /// Returns how many more accelerators borrowed work may take, so that a share stays idle.
     ///
-    /// Borrowed work that takes all that is idle leaves holes of many sizes: large jobs find no
-    /// adjacent accelerators though enough are free in total. The share is one of what guaranteed
-    /// work leaves over, so borrowed work is slowed and never shut out, whatever guarantees take;
-    /// and where none runs, a job larger than the rest may take everything.
-    pub(super) fn spare_for_borrowed(&self, idle: &Pool, borrowed: &[u32]) -> u32 {
+    /// Borrowed work that takes all idle accelerators leaves gaps of many sizes: large jobs find no
+    /// adjacent accelerators although enough are free in total. The share is relative to the capacity
+    /// that guaranteed work leaves free, so borrowed work is slowed but never excluded. If no borrowed
+    /// work runs, a job may exceed the share and take all free accelerators.
+    pub(super) fn borrow_budget(&self, idle: &Pool, borrowed: &[u32]) -> u32 {
         let free: u32 = idle.free.iter().map(|mask| mask.count_ones()).sum();
         let taken: u32 = borrowed.iter().map(|mask| mask.count_ones()).sum();
         if taken == 0 {
             return free;
         }
-        let allowed = whole(f64::from(free + taken) * (1.0 - self.kept_share()));
+        let allowed = to_u32(f64::from(free + taken) * (1.0 - self.reserved_share()));
         allowed.saturating_sub(taken)
     }
 
-    /// Share of what guaranteed work leaves over that stays idle.
-    pub(super) fn kept_share(&self) -> f64 {
-        if self.ledger.workers.len() <= WORKERS_OF_A_RACK {
+    /// Returns the share of the capacity left by guaranteed work that is reserved.
+    pub(super) fn reserved_share(&self) -> f64 {
+        if self.ledger.workers.len() <= SMALL_ZONE_WORKERS {
             return 0.0;
         }
         let ratio = self.fragmentation_ratio();
-        MOST_KEPT_SHARE * (ratio / (1.0 + ratio)).sqrt()
+        MAX_RESERVED_SHARE * (ratio / (1.0 + ratio)).sqrt()
     }
 
-    /// How long a borrowed start waits for a place that harms no large cell.
-    pub(super) fn patience(&self) -> DurationMs {
+    /// Returns how long a borrowed start waits for cells that split no large cell.
+    pub(super) fn max_borrow_wait(&self) -> DurationMs {
         let ratio = self.fragmentation_ratio().min(10.0);
-        DurationMs(u64::from(whole(PATIENCE_MS * ratio)))
+        DurationMs(u64::from(to_u32(BORROW_WAIT_MS * ratio)))
     }
 
-    /// How many accelerators may be moved by a checkpoint for one whole cell.
+    /// Returns how many accelerators may be moved by a checkpoint for one whole cell.
     pub(super) fn move_limit(&self) -> u32 {
-        whole(MOVED_AT_EQUAL_WEIGHTS * self.fragmentation_ratio().min(4.0))
+        to_u32(MOVE_LIMIT_AT_EQUAL_WEIGHTS * self.fragmentation_ratio().min(4.0))
     }
 
-    /// The weight of fragmentation over that of completion; 0 before a table is in force.
+    /// Returns the weight of fragmentation over that of completion, or 0 before a table is in force.
     fn fragmentation_ratio(&self) -> f64 {
         let weights = self.table.as_ref().map(|table| &table.table.weights);
-        weights.map_or(0.0, |w| w.fragmentation / w.completion.max(LEAST_WEIGHT))
+        weights.map_or(0.0, |w| w.fragmentation / w.completion.max(MIN_WEIGHT))
     }
 }
 
@@ -72,6 +72,6 @@
     clippy::cast_sign_loss,
     reason = "every caller bounds its number far below the type's range, and none is negative"
 )]
-fn whole(number: f64) -> u32 {
+fn to_u32(number: f64) -> u32 {
     number as u32
 }
