--- a/ragwortwick-policy/examples/placement_slopes.rs
+++ b/ragwortwick-policy/examples/placement_slopes.rs
@@ -8,7 +8,7 @@
 use std::time::Instant;
 
 use fake_zone::tables::table;
-use fake_zone::{FakeZone, Truth, job};
+use fake_zone::{ActualRun, FakeZone, job};
 use ragwortwick_border::JobRecord;
 use ragwortwick_policy::ZoneEvent;
 
@@ -35,12 +35,12 @@
         .collect();
     let racks: Vec<&[u32]> = rows.iter().map(Vec::as_slice).collect();
     let mut zone = FakeZone::started(&racks, table(&[("a", 4, 32)]));
-    let truth = Truth {
+    let actual_run = ActualRun {
         run_ms: 36_000_000,
         fails: false,
     };
     for number in 0..gangs {
-        zone.submit_job(job(&format!("j{number}"), "a", "batch", 1, 1), truth);
+        zone.submit_job(job(&format!("j{number}"), "a", "batch", 1, 1), actual_run);
     }
     zone.run_for(10_000);
     zone.placer_time = std::time::Duration::ZERO;
@@ -61,7 +61,7 @@
     let racks: Vec<&[u32]> = rows.iter().map(Vec::as_slice).collect();
     let cells = u32::try_from(workers / 16).unwrap_or(1);
     let mut zone = FakeZone::started(&racks, table(&[("a", cells, 32), ("b", cells, 8)]));
-    let truth = Truth {
+    let actual_run = ActualRun {
         run_ms: 36_000_000,
         fails: false,
     };
@@ -75,7 +75,7 @@
                 1,
                 1 << (number % 2),
             ),
-            truth,
+            actual_run,
         );
     }
     zone.run_for(5_000);
--- a/ragwortwick-policy/examples/policy_bench/arrivals.rs
+++ b/ragwortwick-policy/examples/policy_bench/arrivals.rs
@@ -6,14 +6,14 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::deployment::{ClassLoad, Deployment};
-use crate::fake_zone::{Truth, job};
+use crate::fake_zone::{ActualRun, job};
 
-/// `Arrival` is one job with the truth about it.
+/// `Arrival` is one job and how it actually runs.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     pub at_ms: u64,
     pub spec: JobSubmit,
-    pub truth: Truth,
+    pub actual_run: ActualRun,
     /// Caller cancels then, if it is not finished.
     pub cancel_at_ms: Option<u64>,
     pub is_urgent: bool,
@@ -93,7 +93,7 @@
     Arrival {
         at_ms,
         spec,
-        truth: Truth {
+        actual_run: ActualRun {
             run_ms: whole_ms(run_ms * size_error).max(1_000),
             fails,
         },
--- a/ragwortwick-policy/examples/policy_bench/measure.rs
+++ b/ragwortwick-policy/examples/policy_bench/measure.rs
@@ -153,7 +153,7 @@
 
 /// A job is lost if it never ended, or was given up although it can run and nobody cancelled it.
 fn is_lost(arrival: &Arrival, outcome: &Outcome) -> bool {
-    let can_run = !arrival.truth.fails && !arrival.fits_nowhere;
+    let can_run = !arrival.actual_run.fails && !arrival.fits_nowhere;
     !outcome.is_closed || (can_run && arrival.cancel_at_ms.is_none())
 }
 
--- a/ragwortwick-policy/examples/policy_bench/naive.rs
+++ b/ragwortwick-policy/examples/policy_bench/naive.rs
@@ -319,18 +319,18 @@
     }
 
     fn start(&mut self, at_ms: u64, job: usize, parts: Vec<(usize, u32)>) {
-        let truth = self.script.arrivals[job].truth;
+        let actual_run = self.script.arrivals[job].actual_run;
         let is_broken = parts
             .iter()
             .any(|(worker, _)| self.workers[*worker].is_broken);
-        let fails = truth.fails || is_broken;
+        let fails = actual_run.fails || is_broken;
         for (worker, mask) in &parts {
             self.workers[*worker].held |= mask;
             if !fails {
                 self.workers[*worker].useful |= mask;
             }
         }
-        let run_ms = if fails { FAIL_MS } else { truth.run_ms };
+        let run_ms = if fails { FAIL_MS } else { actual_run.run_ms };
         self.waiting.remove(&job);
         self.outcomes[job].started_at_ms.get_or_insert(at_ms);
         let running = Running {
--- a/ragwortwick-policy/examples/policy_bench/ours.rs
+++ b/ragwortwick-policy/examples/policy_bench/ours.rs
@@ -37,7 +37,7 @@
             apply(&mut zone, &names, &fault.1);
         }
         while let Some(arrival) = arrivals.next_if(|arrival| arrival.at_ms <= at_ms) {
-            zone.submit_job(arrival.spec.clone(), arrival.truth);
+            zone.submit_job(arrival.spec.clone(), arrival.actual_run);
         }
         while cancels.first().is_some_and(|(at, _)| *at <= at_ms) {
             if let Some((_, job_id)) = cancels.pop_first() {
@@ -85,7 +85,7 @@
         }
         let mut workers = Vec::new();
         for worker in zone.workers.values() {
-            let active = worker.gangs.values().filter(|held| !held.is_over());
+            let active = worker.gangs.values().filter(|held| !held.is_ended());
             let useful = worker.gangs.values().filter(|held| held.is_active());
             workers.push(WorkerSample {
                 rack: packing::rack_number(worker.rack.as_str()),
@@ -113,7 +113,7 @@
 
     fn close(self, zone: &FakeZone, script: &Script, start_ms: u64) -> Side {
         let mut finished: BTreeMap<&JobId, u64> = BTreeMap::new();
-        for (at, record) in &zone.written_at {
+        for (at, record) in &zone.writes {
             if record.phase == JobPhase::Finished {
                 finished.insert(&record.job_id, at.0 - start_ms);
             }
--- a/ragwortwick-policy/src/table/changes.rs
+++ b/ragwortwick-policy/src/table/changes.rs
@@ -1,10 +1,10 @@
-//! The difference between two versions of the table, in words, one line for each changed row.
+//! The changes between two versions of the table, as one line of text for each changed row.
 
 use std::collections::BTreeMap;
 
 use ragwortwick_border::{ClassRow, CustomerRow, GuaranteeRow, Table};
 
-/// `table_changes` tells which rows were added, changed or removed, in the order of the parts.
+/// `table_changes` lists the rows that were added, changed or removed, sheet by sheet.
 #[must_use]
 pub fn table_changes(old: &Table, new: &Table) -> Vec<String> {
     let mut lines = Vec::new();
@@ -33,7 +33,7 @@
 /// `Cell` is a column's name with its value as text.
 type Cell = (&'static str, String);
 
-/// `Rows` holds the cells of each row under the words that identify the row.
+/// `Rows` maps the text that identifies a row to the row's cells.
 type Rows = BTreeMap<String, Vec<Cell>>;
 
 fn rows<T>(rows: &[T], describe: impl Fn(&T) -> (String, Vec<Cell>)) -> Rows {
@@ -82,7 +82,10 @@
         match old.remove(&key) {
             None => lines.push(format!("{sheet}: {key}: added ({})", join(&cells))),
             Some(before) if before != cells => {
-                lines.push(format!("{sheet}: {key}: {}", differing(&before, &cells)));
+                lines.push(format!(
+                    "{sheet}: {key}: {}",
+                    changed_cells(&before, &cells)
+                ));
             }
             Some(_) => {}
         }
@@ -92,7 +95,7 @@
     }
 }
 
-fn differing(before: &[Cell], after: &[Cell]) -> String {
+fn changed_cells(before: &[Cell], after: &[Cell]) -> String {
     let changed: Vec<String> = before
         .iter()
         .zip(after)
--- a/ragwortwick-policy/src/table/effects.rs
+++ b/ragwortwick-policy/src/table/effects.rs
@@ -1,11 +1,11 @@
-//! What an acceptance would do to guarantees and to work under way, in words.
+//! The effects of accepting a table on guarantees and running work, as text.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use ragwortwick_border::Table;
 use ragwortwick_core::{ClassName, CustomerName, ZoneName};
 
-/// `table_effects` tells what putting `new` in the place of `old` does, guarantees first.
+/// `table_effects` lists the effects of replacing `old` with `new`, guarantees first.
 #[must_use]
 pub fn table_effects(old: &Table, new: &Table) -> Vec<String> {
     let mut lines = guarantee_effects(old, new);
@@ -15,13 +15,13 @@
     lines
 }
 
-/// `Holding` names one customer's promised accelerators in one zone, cells of one size together.
-type Holding<'a> = (&'a CustomerName, &'a ZoneName, u32);
+/// `GuaranteeKey` identifies one customer's guaranteed cells of one size in one zone.
+type GuaranteeKey<'a> = (&'a CustomerName, &'a ZoneName, u32);
 
 fn guarantee_effects(old: &Table, new: &Table) -> Vec<String> {
-    let before = holdings(old);
-    let after = holdings(new);
-    let keys: BTreeSet<&Holding<'_>> = before.keys().chain(after.keys()).collect();
+    let before = guaranteed_cells(old);
+    let after = guaranteed_cells(new);
+    let keys: BTreeSet<&GuaranteeKey<'_>> = before.keys().chain(after.keys()).collect();
     keys.into_iter()
         .filter_map(|key| {
             let from = before.get(key).copied().unwrap_or(0);
@@ -31,8 +31,8 @@
         .collect()
 }
 
-fn guarantee_effect(holding: &Holding<'_>, from: u64, to: u64) -> Option<String> {
-    let (customer, zone, size) = holding;
+fn guarantee_effect(key: &GuaranteeKey<'_>, from: u64, to: u64) -> Option<String> {
+    let (customer, zone, size) = key;
     let head = format!("the guarantee of {customer} in {zone}, cells of {size} accelerators,");
     match to.cmp(&from) {
         std::cmp::Ordering::Equal => None,
@@ -47,7 +47,7 @@
     }
 }
 
-fn holdings(table: &Table) -> BTreeMap<Holding<'_>, u64> {
+fn guaranteed_cells(table: &Table) -> BTreeMap<GuaranteeKey<'_>, u64> {
     let mut cells = BTreeMap::new();
     for row in &table.guarantees {
         let key = (&row.customer, &row.zone, row.shape.cell_accelerators);
@@ -60,13 +60,13 @@
     let before = customers(old);
     let after = customers(new);
     let with_class: BTreeSet<&CustomerName> = new.classes.iter().map(|row| &row.customer).collect();
-    let gone = before.difference(&after).map(|customer| {
+    let removed = before.difference(&after).map(|customer| {
         format!("{customer} is no customer any more: new requests and jobs of it are refused")
     });
-    let silent = after
+    let without_class = after
         .difference(&with_class)
         .map(|customer| format!("{customer} has no class: every request and job of it is refused"));
-    gone.chain(silent).collect()
+    removed.chain(without_class).collect()
 }
 
 fn customers(table: &Table) -> BTreeSet<&CustomerName> {
--- a/ragwortwick-policy/src/table/mod.rs
+++ b/ragwortwick-policy/src/table/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' table: its mistakes, the difference between two versions and what it does.
+//! The operators' table: its validation, the changes between two versions and their effects.
 
 mod changes;
 mod effects;
--- a/ragwortwick-policy/src/table/packing.rs
+++ b/ragwortwick-policy/src/table/packing.rs
@@ -1,4 +1,4 @@
-//! Whether a table's guarantees fit the listed workers, told apart from shortages that are there.
+//! Review of whether a table's guarantees fit the listed workers, apart from existing shortages.
 
 use std::collections::BTreeMap;
 
@@ -7,22 +7,22 @@
 
 use crate::{ZoneCapacity, check_guarantees_pack};
 
-/// `Packing` is what a review says about guarantees that do not fit.
+/// `Packing` is the result of a review: the guarantees that do not fit.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Packing {
-    /// Rows that the new table makes not fit; they prevent acceptance.
+    /// Rows that do not fit because of the new table; they prevent its acceptance.
     pub problems: Vec<TableProblem>,
-    /// Rows that did not fit before either; they do not stand in the way of other changes.
+    /// Rows that did not fit before either; they do not prevent other changes.
     pub effects: Vec<String>,
 }
 
-/// `review_packing` checks the guarantees of `new` against the workers, in the light of `old`.
+/// `review_packing` checks whether the guarantees of `new` fit, apart from shortages under `old`.
 ///
-/// After the loss of a rack the table in force itself may not fit. Were that a mistake of every new
+/// After the loss of a rack the table in force itself may not fit. If that were a problem of every new
 /// table, operators could change nothing until the rack is back, not even shrink another guarantee.
 #[must_use]
 pub fn review_packing(old: &Table, new: &Table, capacity: &ZoneCapacity) -> Packing {
-    // A host that has not read the list yet knows no worker at all and can't judge.
+    // A host that has not read the host list yet knows no workers and cannot check the fit.
     if capacity.zones.is_empty() {
         return Packing::default();
     }
@@ -48,7 +48,7 @@
     (&row.customer, &row.zone, row.shape.cell_accelerators)
 }
 
-/// The promised cells of each row that does not fit.
+/// Returns the guaranteed cells of each row that does not fit.
 fn short_cells<'a>(table: &'a Table, problems: &[TableProblem]) -> BTreeMap<Key<'a>, u32> {
     problems
         .iter()
@@ -70,7 +70,7 @@
     )
 }
 
-/// The operator's file has the cells in a column of their own.
+/// Renames the column of a problem, since the operator's file has the cells in their own column.
 fn in_column(problem: TableProblem) -> TableProblem {
     if problem.column == "shape" {
         TableProblem {
--- a/ragwortwick-policy/tests/bounds_bench.rs
+++ b/ragwortwick-policy/tests/bounds_bench.rs
@@ -15,7 +15,7 @@
 mod packing;
 
 use fake_zone::tables::table;
-use fake_zone::{FakeZone, Truth, job};
+use fake_zone::{ActualRun, FakeZone, job};
 use measure::Figures;
 
 fn figures_of(name: &str, seed: u64) -> (Figures, Figures) {
@@ -104,11 +104,11 @@
     let racks: Vec<&[u32]> = rows.iter().map(Vec::as_slice).collect();
     let mut zone = FakeZone::started(&racks, table(&[]));
     let before = zone.placer.placement_steps();
-    let truth = Truth {
+    let actual_run = ActualRun {
         run_ms: 1_000,
         fails: false,
     };
-    let job_id = zone.submit_job(job("j", "a", "batch", cells, 8), truth);
+    let job_id = zone.submit_job(job("j", "a", "batch", cells, 8), actual_run);
     let steps = zone.placer.placement_steps() - before;
     zone.run_for(100);
     assert_eq!(zone.start_count(&job_id), 1);
--- a/ragwortwick-policy/tests/fake_zone/mod.rs
+++ b/ragwortwick-policy/tests/fake_zone/mod.rs
@@ -1,4 +1,4 @@
-//! Fake workers with a virtual clock, and a host that drives a placer against them.
+//! Fake workers with a virtual clock, and a fake host that runs a placer against them.
 #![allow(
     dead_code,
     reason = "each test and bench uses the part of the fake that it needs"
@@ -25,49 +25,49 @@
 
 pub const ZONE: &str = "z1";
 const REPLY_MS: u64 = 1;
-const SILENT_MS: u64 = 1_000;
+const ORDER_TIMEOUT_MS: u64 = 1_000;
 
-/// What becomes of one order on its way.
+/// How one order and its reply are delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum Delivery {
     Deliver,
     LoseOrder,
-    LoseAnswer,
+    LoseReply,
     Refuse,
 }
 
-type Fates = Box<dyn FnMut(&WorkerName, &WorkerCommand) -> Fate>;
+type DeliveryRule = Box<dyn FnMut(&WorkerName, &WorkerCommand) -> Delivery>;
 
-/// How a job really behaves, whatever was declared.
+/// How a job actually runs, independent of its declaration.
 #[derive(Clone, Copy, Debug)]
-pub struct Truth {
+pub struct ActualRun {
     pub run_ms: u64,
     pub fails: bool,
 }
 
-/// Placer, workers, store and clock of one zone.
+/// The placer, workers, store and clock of one zone.
 pub struct FakeZone {
     pub now: TimeMs,
     pub placer: ZonePlacer,
     pub epoch: u64,
     pub workers: BTreeMap<WorkerName, FakeWorker>,
-    pub truths: BTreeMap<JobId, Truth>,
+    pub actual_runs: BTreeMap<JobId, ActualRun>,
     pub records: BTreeMap<JobId, JobRecord>,
-    pub written_at: Vec<(TimeMs, JobRecord)>,
+    pub writes: Vec<(TimeMs, JobRecord)>,
     pub notices: Vec<(TimeMs, ZoneNotice)>,
     pub starts: BTreeMap<JobId, Vec<(TimeMs, GangId)>>,
     pub commits: Vec<(GangId, WorkerName)>,
     pub table: Option<Arc<AcceptedTable>>,
-    pub store_is_away: bool,
-    pub paused: bool,
+    pub is_store_unavailable: bool,
+    pub is_paused: bool,
     pub orders_sent: u64,
-    /// Processor time that the placer took, on the real clock.
+    /// Time spent in the placer, on the real clock.
     pub placer_time: std::time::Duration,
     events: BTreeMap<(TimeMs, u64), ZoneEvent>,
     next_event: u64,
-    fates: Fates,
+    delivery_rule: DeliveryRule,
     pub after_event: Option<fn(&FakeZone)>,
-    unwritten: Vec<JobRecord>,
+    pending_records: Vec<JobRecord>,
     checkpointed: BTreeSet<GangId>,
 }
 
@@ -87,27 +87,27 @@
             placer: new_placer(),
             epoch: 0,
             workers,
-            truths: BTreeMap::new(),
+            actual_runs: BTreeMap::new(),
             records: BTreeMap::new(),
-            written_at: Vec::new(),
+            writes: Vec::new(),
             notices: Vec::new(),
             starts: BTreeMap::new(),
             commits: Vec::new(),
             table: None,
-            store_is_away: false,
-            paused: false,
+            is_store_unavailable: false,
+            is_paused: false,
             orders_sent: 0,
             placer_time: std::time::Duration::ZERO,
             events: BTreeMap::new(),
             next_event: 0,
-            fates: Box::new(|_, _| Fate::Deliver),
+            delivery_rule: Box::new(|_, _| Delivery::Deliver),
             after_event: None,
-            unwritten: Vec::new(),
+            pending_records: Vec::new(),
             checkpointed: BTreeSet::new(),
         }
     }
 
-    /// A zone with a table whose first owner is placing.
+    /// Creates a zone with a table in force, whose first owner has finished recovery.
     pub fn started(racks: &[&[u32]], table: Table) -> Self {
         let mut zone = Self::new(racks);
         zone.accept(table);
@@ -116,8 +116,11 @@
         zone
     }
 
-    pub fn set_fates(&mut self, fates: impl FnMut(&WorkerName, &WorkerCommand) -> Fate + 'static) {
-        self.fates = Box::new(fates);
+    pub fn set_delivery(
+        &mut self,
+        delivery_rule: impl FnMut(&WorkerName, &WorkerCommand) -> Delivery + 'static,
+    ) {
+        self.delivery_rule = Box::new(delivery_rule);
     }
 
     pub fn accept(&mut self, table: Table) {
@@ -134,7 +137,7 @@
         self.send(ZoneEvent::TableInForce(accepted));
     }
 
-    /// A new owner with an empty memory takes the zone; the old one is never heard again.
+    /// A new owner with empty state takes the zone; the old one sends and receives nothing more.
     pub fn take_over(&mut self) {
         self.epoch += 1;
         self.placer = new_placer();
@@ -156,7 +159,7 @@
         let unfinished: Vec<JobRecord> = self
             .records
             .values()
-            .filter(|r| !is_over(r))
+            .filter(|r| !is_ended(r))
             .cloned()
             .collect();
         for record in unfinished {
@@ -174,14 +177,14 @@
     ) -> JobId {
         self.submit_job(
             job(id, customer, class, cells, size),
-            Truth {
+            ActualRun {
                 run_ms: 60_000,
                 fails: false,
             },
         )
     }
 
-    pub fn submit_job(&mut self, spec: JobSubmit, truth: Truth) -> JobId {
+    pub fn submit_job(&mut self, spec: JobSubmit, actual_run: ActualRun) -> JobId {
         let job_id = spec.job_id.clone().expect("tests name their jobs");
         let record = JobRecord {
             accepted_at_ms: self.now,
@@ -194,7 +197,7 @@
             spec,
             zone: ZoneName::new(ZONE),
         };
-        self.truths.insert(job_id.clone(), truth);
+        self.actual_runs.insert(job_id.clone(), actual_run);
         self.records.insert(job_id.clone(), record.clone());
         self.send(ZoneEvent::JobFound(record));
         job_id
@@ -242,7 +245,7 @@
         let actions = self.placer.on_event(self.now, event);
         self.placer_time += started.elapsed();
         for action in actions {
-            self.carry_out(action);
+            self.perform(action);
         }
         if let Some(check) = self.after_event {
             check(self);
@@ -257,10 +260,14 @@
         let mut idle_rounds = 0;
         while let Some(at) = self.next_time(end) {
             idle_rounds = if at > self.now { 0 } else { idle_rounds + 1 };
-            assert!(idle_rounds < 100_000, "time stands still at {}", self.now);
+            assert!(
+                idle_rounds < 100_000,
+                "time does not advance at {}",
+                self.now
+            );
             self.now = self.now.max(at);
-            let first = self.events.first_key_value().map(|(key, _)| *key);
-            match first {
+            let next_key = self.events.first_key_value().map(|(key, _)| *key);
+            match next_key {
                 Some(key) if key.0 <= self.now => {
                     let event = self.events.remove(&key).expect("the key was just seen");
                     self.send(event);
@@ -272,7 +279,7 @@
     }
 
     fn next_time(&mut self, end: TimeMs) -> Option<TimeMs> {
-        if self.paused {
+        if self.is_paused {
             return None;
         }
         let queued = self.events.first_key_value().map(|(key, _)| key.0);
@@ -287,22 +294,24 @@
     }
 
     pub fn write_pending(&mut self) {
-        self.store_is_away = false;
-        for record in std::mem::take(&mut self.unwritten) {
+        self.is_store_unavailable = false;
+        for record in std::mem::take(&mut self.pending_records) {
             self.write(record);
         }
     }
 
-    fn carry_out(&mut self, action: ZoneAction) {
+    fn perform(&mut self, action: ZoneAction) {
         match action {
             ZoneAction::Order {
                 order,
                 worker,
                 command,
             } => self.deliver(order, &worker, &command),
-            ZoneAction::RecordJob(record) if self.store_is_away => self.unwritten.push(record),
+            ZoneAction::RecordJob(record) if self.is_store_unavailable => {
+                self.pending_records.push(record);
+            }
             ZoneAction::RecordJob(record) => self.write(record),
-            ZoneAction::Notice(notice) => self.note(notice),
+            ZoneAction::Notice(notice) => self.record_notice(notice),
         }
     }
 
@@ -311,12 +320,12 @@
             job_id: record.job_id.clone(),
             attempt: record.attempt,
         };
-        self.written_at.push((self.now, record.clone()));
+        self.writes.push((self.now, record.clone()));
         self.records.insert(record.job_id.clone(), record);
-        self.later(5, event);
+        self.schedule(5, event);
     }
 
-    fn note(&mut self, notice: ZoneNotice) {
+    fn record_notice(&mut self, notice: ZoneNotice) {
         if let ZoneNotice::GangStarted { gang_id, .. } = &notice
             && let Some((job_id, _)) = gang_id.job_and_attempt()
         {
@@ -328,7 +337,7 @@
         self.notices.push((self.now, notice));
     }
 
-    fn later(&mut self, span_ms: u64, event: ZoneEvent) {
+    fn schedule(&mut self, span_ms: u64, event: ZoneEvent) {
         self.next_event += 1;
         let at = self.now + DurationMs(span_ms);
         self.events.insert((at, self.next_event), event);
@@ -336,7 +345,7 @@
 
     fn deliver(&mut self, order: OrderId, name: &WorkerName, command: &WorkerCommand) {
         self.orders_sent += 1;
-        let fate = (self.fates)(name, command);
+        let delivery = (self.delivery_rule)(name, command);
         if let WorkerCommand::Stop(stop) = command
             && stop.grace_ms > DurationMs(0)
         {
@@ -344,10 +353,10 @@
         }
         let epoch = Epoch(self.epoch);
         let reply = self.workers.get_mut(name).and_then(|worker| {
-            if worker.is_down || fate == Fate::LoseOrder {
+            if worker.is_down || delivery == Delivery::LoseOrder {
                 return None;
             }
-            if fate == Fate::Refuse {
+            if delivery == Delivery::Refuse {
                 return Some(WorkerReply {
                     gangs: Vec::new(),
                     highest_epoch: worker.highest_epoch,
@@ -357,12 +366,12 @@
             if let WorkerCommand::Commit(commit) = command {
                 self.commits.push((commit.gang_id.clone(), name.clone()));
             }
-            let reply = worker.obey(self.now, epoch, command, &self.truths);
-            (fate != Fate::LoseAnswer).then_some(reply)
+            let reply = worker.execute(self.now, epoch, command, &self.actual_runs);
+            (delivery != Delivery::LoseReply).then_some(reply)
         });
         let worker = name.clone();
         match reply {
-            Some(reply) => self.later(
+            Some(reply) => self.schedule(
                 REPLY_MS,
                 ZoneEvent::WorkerReplied {
                     worker,
@@ -370,41 +379,41 @@
                     reply,
                 },
             ),
-            None => self.later(SILENT_MS, ZoneEvent::OrderTimedOut { worker, order }),
+            None => self.schedule(ORDER_TIMEOUT_MS, ZoneEvent::OrderTimedOut { worker, order }),
         }
     }
 
-    /// Keeps what a whole gang has done, so that its job's next attempt has less to do.
+    /// Saves the progress of a gang whose workers are all up, which shortens its job's next attempt.
     fn checkpoint(&mut self, name: &WorkerName, gang_id: &GangId, grace_ms: DurationMs) {
         let now = self.now;
-        let Some(held) = self.workers.get(name).and_then(|w| w.gangs.get(gang_id)) else {
+        let Some(allocation) = self.workers.get(name).and_then(|w| w.gangs.get(gang_id)) else {
             return;
         };
-        let is_whole = held.spec.members.iter().all(|member| {
+        let is_whole = allocation.spec.members.iter().all(|member| {
             let worker = self.workers.get(&member.worker);
             worker.is_some_and(|worker| !worker.is_down)
         });
-        if !held.is_active() || !is_whole || self.checkpointed.contains(gang_id) {
+        if !allocation.is_active() || !is_whole || self.checkpointed.contains(gang_id) {
             return;
         }
-        let done_ms = (now + grace_ms).since(held.started_at);
-        let job_id = held.spec.job_id.clone();
+        let done_ms = (now + grace_ms).since(allocation.started_at);
+        let job_id = allocation.spec.job_id.clone();
         self.checkpointed.insert(gang_id.clone());
-        if let Some(truth) = self.truths.get_mut(&job_id) {
-            truth.run_ms = truth.run_ms.saturating_sub(done_ms.0).max(1_000);
+        if let Some(actual_run) = self.actual_runs.get_mut(&job_id) {
+            actual_run.run_ms = actual_run.run_ms.saturating_sub(done_ms.0).max(1_000);
         }
     }
 
-    /// Gangs of which some member runs and some does not.
+    /// Returns the gangs of which some members run and others do not.
     pub fn partial_gangs(&mut self) -> BTreeSet<GangId> {
         let now = self.now;
         let mut members: BTreeMap<GangId, (u32, u32)> = BTreeMap::new();
         for worker in self.workers.values_mut() {
             worker.advance(now);
-            for (gang_id, held) in &worker.gangs {
+            for (gang_id, allocation) in &worker.gangs {
                 let entry = members.entry(gang_id.clone()).or_default();
-                entry.1 = u32::try_from(held.spec.members.len()).expect("small");
-                entry.0 += u32::from(held.is_active());
+                entry.1 = u32::try_from(allocation.spec.members.len()).expect("small");
+                entry.0 += u32::from(allocation.is_active());
             }
         }
         let is_partial = |(active, all): (u32, u32)| active > 0 && active < all;
@@ -423,14 +432,14 @@
         self.starts.get(job_id).map_or(0, Vec::len)
     }
 
-    /// Gangs that any worker runs now, by job.
+    /// Returns the gangs of a job that any worker runs now.
     pub fn running(&mut self, job_id: &JobId) -> BTreeSet<GangId> {
         let now = self.now;
         let mut running = BTreeSet::new();
         for worker in self.workers.values_mut() {
             worker.advance(now);
-            for (gang_id, held) in &worker.gangs {
-                if held.is_active() && held.spec.job_id == *job_id {
+            for (gang_id, allocation) in &worker.gangs {
+                if allocation.is_active() && allocation.spec.job_id == *job_id {
                     running.insert(gang_id.clone());
                 }
             }
@@ -443,14 +452,14 @@
     ZonePlacer::new(ZoneName::new(ZONE), ZoneOptions::default(), 1)
 }
 
-fn is_over(record: &JobRecord) -> bool {
+fn is_ended(record: &JobRecord) -> bool {
     matches!(
         record.phase,
         JobPhase::Finished | JobPhase::Failed | JobPhase::Cancelled | JobPhase::MayHaveRun
     )
 }
 
-/// A repeatable job that declares one minute.
+/// Creates a repeatable job with a declared run time of one minute.
 pub fn job(id: &str, customer: &str, class: &str, cells: u32, size: u32) -> JobSubmit {
     JobSubmit {
         class: ClassName::new(class),
--- a/ragwortwick-policy/tests/fake_zone/tables.rs
+++ b/ragwortwick-policy/tests/fake_zone/tables.rs
@@ -3,7 +3,7 @@
 use ragwortwick_border::{ClassRow, CustomerRow, GuaranteeRow, PolicyWeights, Shape, Table};
 use ragwortwick_core::{ClassName, CustomerName, DurationMs, ZoneName};
 
-/// Customers `a` and `b` with the classes `urgent` and `batch` and these guarantees.
+/// Creates a table of customers `a` and `b`, classes `urgent` and `batch`, and these guarantees.
 pub fn table(guarantees: &[(&str, u32, u32)]) -> Table {
     let customers = ["a", "b"];
     Table {
--- a/ragwortwick-policy/tests/fake_zone/worker.rs
+++ b/ragwortwick-policy/tests/fake_zone/worker.rs
@@ -1,4 +1,4 @@
-//! A fake worker: holds members under leases and obeys orders under epochs.
+//! A fake worker, which runs members under leases and rejects orders from older epochs.
 
 use std::collections::BTreeMap;
 
@@ -8,9 +8,9 @@
 use ragwortwick_core::{DurationMs, Epoch, GangId, JobId, RackName, TimeMs, WorkerName};
 use ragwortwick_policy::WorkerInfo;
 
-use super::Truth;
+use super::ActualRun;
 
-pub struct Held {
+pub struct Allocation {
     pub spec: GangSpec,
     pub mask: u32,
     pub phase: GangPhase,
@@ -21,12 +21,12 @@
     pub fails: bool,
 }
 
-impl Held {
+impl Allocation {
     pub fn is_active(&self) -> bool {
         matches!(self.phase, GangPhase::Running | GangPhase::Checkpointing)
     }
 
-    pub fn is_over(&self) -> bool {
+    pub fn is_ended(&self) -> bool {
         !self.is_active() && self.phase != GangPhase::Reserved
     }
 }
@@ -36,10 +36,10 @@
     pub rack: RackName,
     pub accelerators: u32,
     pub highest_epoch: Epoch,
-    pub gangs: BTreeMap<GangId, Held>,
+    pub gangs: BTreeMap<GangId, Allocation>,
     pub is_down: bool,
     pub is_unlisted: bool,
-    /// Every member that starts here fails.
+    /// Whether every member that starts here fails.
     pub is_broken: bool,
 }
 
@@ -65,35 +65,39 @@
         }
     }
 
-    /// Lets time pass: members finish, fail, checkpoint and lose their leases.
+    /// Advances members to `now`: they finish, fail, stop or lose their leases.
     pub fn advance(&mut self, now: TimeMs) {
-        for held in self.gangs.values_mut() {
-            let is_lapsed = held.lease_until < now;
-            if held.is_active() {
-                let end = held
+        for allocation in self.gangs.values_mut() {
+            let is_lapsed = allocation.lease_until < now;
+            if allocation.is_active() {
+                let end = allocation
                     .stops_at
-                    .map_or(held.ends_at, |at| at.min(held.ends_at));
-                if held.ends_at <= now && end == held.ends_at && held.lease_until >= held.ends_at {
-                    held.phase = if held.fails {
+                    .map_or(allocation.ends_at, |at| at.min(allocation.ends_at));
+                if allocation.ends_at <= now
+                    && end == allocation.ends_at
+                    && allocation.lease_until >= allocation.ends_at
+                {
+                    allocation.phase = if allocation.fails {
                         GangPhase::Failed
                     } else {
                         GangPhase::Finished
                     };
-                } else if is_lapsed || held.stops_at.is_some_and(|at| at <= now) {
-                    held.phase = GangPhase::Stopped;
+                } else if is_lapsed || allocation.stops_at.is_some_and(|at| at <= now) {
+                    allocation.phase = GangPhase::Stopped;
                 }
             }
         }
-        self.gangs
-            .retain(|_, held| held.phase != GangPhase::Reserved || held.lease_until >= now);
+        self.gangs.retain(|_, allocation| {
+            allocation.phase != GangPhase::Reserved || allocation.lease_until >= now
+        });
     }
 
-    pub fn obey(
+    pub fn execute(
         &mut self,
         now: TimeMs,
         epoch: Epoch,
         command: &WorkerCommand,
-        truths: &BTreeMap<JobId, Truth>,
+        actual_runs: &BTreeMap<JobId, ActualRun>,
     ) -> WorkerReply {
         self.advance(now);
         if epoch < self.highest_epoch {
@@ -101,7 +105,7 @@
         }
         self.highest_epoch = epoch;
         let is_listing = matches!(command, WorkerCommand::Inventory | WorkerCommand::Renew(_));
-        let outcome = self.apply(now, command, truths);
+        let outcome = self.apply(now, command, actual_runs);
         self.reply(now, outcome, is_listing)
     }
 
@@ -109,7 +113,7 @@
         &mut self,
         now: TimeMs,
         command: &WorkerCommand,
-        truths: &BTreeMap<JobId, Truth>,
+        actual_runs: &BTreeMap<JobId, ActualRun>,
     ) -> WorkerOutcome {
         match command {
             WorkerCommand::Inventory
@@ -117,27 +121,27 @@
             | WorkerCommand::Checkpoint(_) => WorkerOutcome::Done,
             WorkerCommand::Reserve(reserve) => self.reserve(now, &reserve.spec, reserve.lease_ms),
             WorkerCommand::Commit(commit) => {
-                self.commit(now, &commit.gang_id, commit.lease_ms, truths)
+                self.commit(now, &commit.gang_id, commit.lease_ms, actual_runs)
             }
             WorkerCommand::Release(gang) => {
-                let held = self.gangs.get(&gang.gang_id);
-                if held.is_some_and(|held| held.phase == GangPhase::Reserved) {
+                let allocation = self.gangs.get(&gang.gang_id);
+                if allocation.is_some_and(|allocation| allocation.phase == GangPhase::Reserved) {
                     self.gangs.remove(&gang.gang_id);
                 }
                 WorkerOutcome::Done
             }
             WorkerCommand::Renew(renew) => {
-                for held in self.gangs.values_mut() {
-                    if renew.gang_ids.contains(&held.spec.gang_id) && held.is_active() {
-                        held.lease_until = now + renew.lease_ms;
+                for allocation in self.gangs.values_mut() {
+                    if renew.gang_ids.contains(&allocation.spec.gang_id) && allocation.is_active() {
+                        allocation.lease_until = now + renew.lease_ms;
                     }
                 }
                 WorkerOutcome::Done
             }
             WorkerCommand::Stop(stop) => self.stop(now, &stop.gang_id, stop.grace_ms),
             WorkerCommand::Forget(gang) => {
-                let held = self.gangs.get(&gang.gang_id);
-                if held.is_some_and(Held::is_over) {
+                let allocation = self.gangs.get(&gang.gang_id);
+                if allocation.is_some_and(Allocation::is_ended) {
                     self.gangs.remove(&gang.gang_id);
                 }
                 WorkerOutcome::Done
@@ -156,11 +160,11 @@
         let is_taken = self
             .gangs
             .values()
-            .any(|held| !held.is_over() && held.mask & mask != 0);
+            .any(|allocation| !allocation.is_ended() && allocation.mask & mask != 0);
         if is_taken {
             return WorkerOutcome::Occupied;
         }
-        let held = Held {
+        let allocation = Allocation {
             spec: spec.clone(),
             mask,
             phase: GangPhase::Reserved,
@@ -170,7 +174,7 @@
             stops_at: None,
             fails: false,
         };
-        self.gangs.insert(spec.gang_id.clone(), held);
+        self.gangs.insert(spec.gang_id.clone(), allocation);
         WorkerOutcome::Done
     }
 
@@ -179,51 +183,58 @@
         now: TimeMs,
         gang_id: &GangId,
         lease_ms: DurationMs,
-        truths: &BTreeMap<JobId, Truth>,
+        actual_runs: &BTreeMap<JobId, ActualRun>,
     ) -> WorkerOutcome {
         let is_broken = self.is_broken;
-        let Some(held) = self.gangs.get_mut(gang_id) else {
+        let Some(allocation) = self.gangs.get_mut(gang_id) else {
             return WorkerOutcome::UnknownGang;
         };
-        if held.phase != GangPhase::Reserved {
+        if allocation.phase != GangPhase::Reserved {
             return WorkerOutcome::Done;
         }
-        let truth = truths.get(&held.spec.job_id).copied().unwrap_or(Truth {
-            run_ms: 60_000,
-            fails: false,
-        });
-        held.phase = GangPhase::Running;
-        held.started_at = now;
-        held.fails = is_broken || truth.fails;
-        let run_ms = if held.fails { 3_000 } else { truth.run_ms };
-        held.ends_at = now + DurationMs(run_ms);
-        held.lease_until = now + lease_ms;
+        let actual_run = actual_runs
+            .get(&allocation.spec.job_id)
+            .copied()
+            .unwrap_or(ActualRun {
+                run_ms: 60_000,
+                fails: false,
+            });
+        allocation.phase = GangPhase::Running;
+        allocation.started_at = now;
+        allocation.fails = is_broken || actual_run.fails;
+        let run_ms = if allocation.fails {
+            3_000
+        } else {
+            actual_run.run_ms
+        };
+        allocation.ends_at = now + DurationMs(run_ms);
+        allocation.lease_until = now + lease_ms;
         WorkerOutcome::Done
     }
 
     fn stop(&mut self, now: TimeMs, gang_id: &GangId, grace_ms: DurationMs) -> WorkerOutcome {
-        let Some(held) = self.gangs.get_mut(gang_id) else {
+        let Some(allocation) = self.gangs.get_mut(gang_id) else {
             return WorkerOutcome::UnknownGang;
         };
-        if held.phase == GangPhase::Reserved {
+        if allocation.phase == GangPhase::Reserved {
             self.gangs.remove(gang_id);
-        } else if held.is_active() {
-            held.phase = GangPhase::Checkpointing;
+        } else if allocation.is_active() {
+            allocation.phase = GangPhase::Checkpointing;
             let at = now + grace_ms;
-            held.stops_at = Some(held.stops_at.map_or(at, |known| known.min(at)));
+            allocation.stops_at = Some(allocation.stops_at.map_or(at, |known| known.min(at)));
             self.advance(now);
         }
         WorkerOutcome::Done
     }
 
     fn reply(&self, now: TimeMs, outcome: WorkerOutcome, is_listing: bool) -> WorkerReply {
-        let gangs = self.gangs.values().map(|held| GangOnWorker {
-            device_mask: held.mask,
-            lease_left_ms: held.lease_until.since(now),
-            phase: held.phase,
+        let gangs = self.gangs.values().map(|allocation| GangOnWorker {
+            device_mask: allocation.mask,
+            lease_left_ms: allocation.lease_until.since(now),
+            phase: allocation.phase,
             progress: 0.0,
             reason: String::new(),
-            spec: held.spec.clone(),
+            spec: allocation.spec.clone(),
         });
         WorkerReply {
             gangs: if is_listing {
--- a/ragwortwick-policy/tests/table_changes.rs
+++ b/ragwortwick-policy/tests/table_changes.rs
@@ -1,4 +1,4 @@
-//! The difference between two tables and its effects, in words.
+//! Checks the texts of the changes between two tables and of their effects.
 
 mod table_support;
 
--- a/ragwortwick-policy/tests/table_checks.rs
+++ b/ragwortwick-policy/tests/table_checks.rs
@@ -1,4 +1,4 @@
-//! Every mistake in the table is named by its part, row and column.
+//! Checks that every problem of a table is reported with its sheet, row and column.
 
 mod table_support;
 
@@ -7,7 +7,7 @@
 use ragwortwick_policy::validate_table;
 use table_support::{class, customer, guarantee, table};
 
-/// Where and what, in one line for comparing.
+/// Formats the location and text of a problem as one line for comparison.
 fn line(problem: &TableProblem) -> String {
     format!(
         "{} {} {}: {}",
@@ -15,9 +15,9 @@
     )
 }
 
-fn places(table: &Table) -> Vec<String> {
-    let place = |p: &TableProblem| format!("{} {} {}", p.sheet, p.row, p.column);
-    validate_table(table).iter().map(place).collect()
+fn locations(table: &Table) -> Vec<String> {
+    let location = |p: &TableProblem| format!("{} {} {}", p.sheet, p.row, p.column);
+    validate_table(table).iter().map(location).collect()
 }
 
 #[test]
@@ -54,7 +54,7 @@
         "classes 2 rate_per_s",
         "weights 1 completion",
     ];
-    assert_eq!(places(&table), expected);
+    assert_eq!(locations(&table), expected);
 }
 
 #[test]
@@ -78,7 +78,7 @@
     let mut row = guarantee("civil", 1);
     row.shape.cell_accelerators = 2;
     table.guarantees.push(row);
-    assert_eq!(places(&table), Vec::<String>::new());
+    assert_eq!(locations(&table), Vec::<String>::new());
 }
 
 #[test]
@@ -100,16 +100,16 @@
     let mut table = table();
     table.guarantees[0].shape.cells = 124_999;
     table.guarantees[1].shape.cells = 2;
-    assert_eq!(places(&table), ["guarantees 2 cells"]);
+    assert_eq!(locations(&table), ["guarantees 2 cells"]);
 }
 
 #[test]
 fn verify_weights_may_not_both_be_zero() {
     let mut table = table();
     table.weights.completion = 0.0;
-    assert_eq!(places(&table), Vec::<String>::new());
+    assert_eq!(locations(&table), Vec::<String>::new());
     table.weights.fragmentation = 0.0;
-    assert_eq!(places(&table), ["weights 1 "]);
+    assert_eq!(locations(&table), ["weights 1 "]);
 }
 
 #[test]
@@ -120,5 +120,5 @@
             .classes
             .push(class("civil", &format!("class-{index}")));
     }
-    assert_eq!(places(&table), ["table 0 "]);
+    assert_eq!(locations(&table), ["table 0 "]);
 }
--- a/ragwortwick-policy/tests/table_packing.rs
+++ b/ragwortwick-policy/tests/table_packing.rs
@@ -1,4 +1,4 @@
-//! Guarantees that do not fit the workers are refused, unless they did not fit before either.
+//! Checks that guarantees that do not fit are refused, unless they did not fit before either.
 
 mod table_support;
 
@@ -6,7 +6,7 @@
 use ragwortwick_policy::{RackCapacity, ZoneCapacity, review_packing};
 use table_support::{guarantee, table};
 
-/// A zone `north` of one rack.
+/// Creates the capacity of a zone `north` with one rack.
 fn capacity(workers: usize) -> ZoneCapacity {
     let rack = RackCapacity {
         worker_accelerators: vec![8; workers],
@@ -43,9 +43,9 @@
 
 #[test]
 fn verify_a_lost_rack_leaves_other_changes_possible() {
-    // Two of three workers are gone, so that the table in force does not fit. The operator changes a
-    // weight, or shrinks what does not fit; both are accepted and say what is short. Growing the
-    // guarantee that does not fit is still refused.
+    // Two of three workers are lost, so the table in force does not fit. Changing a weight or shrinking
+    // the guarantee that does not fit is accepted, and the shortage is shown. Growing that guarantee is
+    // still refused.
     let old = table();
     let mut weight = table();
     weight.customers[0].weight = 5.0;
--- a/ragwortwick-policy/tests/table_support/mod.rs
+++ b/ragwortwick-policy/tests/table_support/mod.rs
@@ -1,9 +1,9 @@
-//! A table without mistakes, for tests to spoil.
+//! A valid table, which tests modify.
 
 use ragwortwick_border::{ClassRow, CustomerRow, GuaranteeRow, PolicyWeights, Shape, Table};
 use ragwortwick_core::DurationMs;
 
-/// `table` has two customers with a class and a guarantee each.
+/// `table` returns a valid table of two customers with a class and a guarantee each.
 pub fn table() -> Table {
     Table {
         customers: vec![customer("civil"), customer("institute")],
--- a/ragwortwick-policy/tests/zone_gangs.rs
+++ b/ragwortwick-policy/tests/zone_gangs.rs
@@ -1,9 +1,9 @@
-//! Checks the whole way of gangs: started all or none, finished, cancelled, requeued.
+//! Checks the lifecycle of gangs: all-or-none start, completion, cancellation and requeue.
 
 mod fake_zone;
 
 use fake_zone::tables::table;
-use fake_zone::{FakeZone, Fate, Truth, job};
+use fake_zone::{ActualRun, Delivery, FakeZone, job};
 use ragwortwick_border::{JobPhase, WorkerCommand};
 use ragwortwick_core::WorkerName;
 
@@ -23,15 +23,15 @@
 
 #[test]
 fn verify_refused_reservation_starts_nothing() {
-    // One of two workers refuses its reservation; the other has accepted. Without the release the
-    // accepted member would hold its accelerators, without "all before any" it would run alone.
+    // One of two workers refuses its reservation after the other accepted. Without a release the accepted
+    // member keeps its accelerators; if commits did not wait for all reservations, it would run alone.
     let mut zone = FakeZone::started(&[RACK], table(&[("a", 2, 16)]));
-    zone.set_fates(|worker, command| {
+    zone.set_delivery(|worker, command| {
         let is_reserve = matches!(command, WorkerCommand::Reserve(_));
         if is_reserve && worker.as_str() == "r00w1" {
-            Fate::Refuse
+            Delivery::Refuse
         } else {
-            Fate::Deliver
+            Delivery::Deliver
         }
     });
     let job_id = zone.submit("j1", "a", "batch", 1, 16);
@@ -39,7 +39,7 @@
     assert!(zone.commits.is_empty());
     assert!(zone.workers.values().all(|worker| worker.gangs.is_empty()));
     zone.run_for(3_000);
-    // The job goes to workers that take it.
+    // The job is placed on workers that accept it.
     assert_eq!(zone.running(&job_id).len(), 1);
     assert!(zone.partial_gangs().is_empty());
 }
@@ -58,15 +58,15 @@
 
 #[test]
 fn verify_lost_member_stops_the_gang_and_requeues_it() {
-    // The worker under one member dies. The other member is stopped within the silent bound, and
-    // the job starts again elsewhere once the dead member's lease must have lapsed.
+    // The worker of one member dies. The other member is stopped once the worker counts as lost, and the
+    // job starts again elsewhere after the dead member's lease has expired.
     let mut zone = FakeZone::started(&[RACK], table(&[("a", 1, 16)]));
     let spec = job("j1", "a", "batch", 1, 16);
-    let truth = Truth {
+    let actual_run = ActualRun {
         run_ms: 600_000,
         fails: false,
     };
-    let job_id = zone.submit_job(spec, truth);
+    let job_id = zone.submit_job(spec, actual_run);
     zone.run_for(1_000);
     let dead = zone.commits[0].1.clone();
     zone.kill(&dead);
@@ -80,11 +80,11 @@
 #[test]
 fn verify_guarantee_is_reclaimed_from_borrowed_work_in_time() {
     let mut zone = FakeZone::started(&[RACK], table(&[("a", 2, 16)]));
-    let truth = Truth {
+    let actual_run = ActualRun {
         run_ms: 3_600_000,
         fails: false,
     };
-    let borrowed = zone.submit_job(job("b1", "b", "batch", 4, 8), truth);
+    let borrowed = zone.submit_job(job("b1", "b", "batch", 4, 8), actual_run);
     zone.run_for(1_000);
     assert_eq!(zone.running(&borrowed).len(), 1);
     let urgent = zone.submit("a1", "a", "urgent", 2, 16);
@@ -109,23 +109,23 @@
 
 #[test]
 fn verify_new_owner_finishes_half_committed_gang_and_undoes_uncommitted_one() {
-    // The owner dies after one of two commits reached its worker. The new owner reads one running
-    // and one reserved member, which proves that all were reserved, and commits the second.
+    // The owner dies after one of two commits reached its worker. The new owner reads one running and
+    // one reserved member, which proves that all were reserved, and commits the second.
     let mut zone = FakeZone::started(&[RACK], table(&[]));
     let mut commits = 0;
-    zone.set_fates(move |_, command| {
+    zone.set_delivery(move |_, command| {
         if matches!(command, WorkerCommand::Commit(_)) {
             commits += 1;
             if commits > 1 {
-                return Fate::LoseOrder;
+                return Delivery::LoseOrder;
             }
         }
-        Fate::Deliver
+        Delivery::Deliver
     });
     let job_id = zone.submit("j1", "a", "batch", 2, 8);
     zone.run_for(10);
     assert_eq!(zone.partial_gangs().len(), 1);
-    zone.set_fates(|_, _| Fate::Deliver);
+    zone.set_delivery(|_, _| Delivery::Deliver);
     zone.take_over();
     zone.run_for(1_000);
     assert!(zone.partial_gangs().is_empty());
@@ -139,12 +139,12 @@
     let mut zone = FakeZone::started(&[RACK], table(&[("a", 1, 8)]));
     let mut spec = job("j1", "a", "batch", 1, 8);
     spec.repeatable = false;
-    zone.store_is_away = true;
-    let truth = Truth {
+    zone.is_store_unavailable = true;
+    let actual_run = ActualRun {
         run_ms: 60_000,
         fails: false,
     };
-    let job_id = zone.submit_job(spec, truth);
+    let job_id = zone.submit_job(spec, actual_run);
     zone.run_for(1_000);
     assert!(zone.commits.is_empty());
     zone.write_pending();
--- a/ragwortwick-policy/tests/zone_guarantees.rs
+++ b/ragwortwick-policy/tests/zone_guarantees.rs
@@ -1,16 +1,16 @@
-//! Checks after every event that all unused guaranteed shapes can be reclaimed at once.
+//! Checks after every event that all unused guaranteed cells can be reclaimed at the same time.
 
 mod fake_zone;
 
 use fake_zone::tables::table;
-use fake_zone::{FakeZone, Truth, job};
+use fake_zone::{ActualRun, FakeZone, job};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use ragwortwick_core::{JobId, WorkerName};
 use ragwortwick_policy::GuaranteeAudit;
 
 const RACKS: &[&[u32]] = &[&[8, 8, 8], &[8, 4, 8]];
 
-/// Tables that pack on the racks above when all workers are there.
+/// Guarantees that fit the racks above when all workers are up.
 const GUARANTEES: [&[(&str, u32, u32)]; 4] = [
     &[("a", 1, 16), ("b", 1, 8), ("b", 2, 2)],
     &[("a", 2, 8), ("b", 1, 16)],
@@ -72,12 +72,12 @@
     }
 }
 
-/// Tries every place for every cell, the largest first.
+/// Tries every position for every cell, largest first.
 fn brute_force(workers: &mut Vec<(usize, u32)>, cells: &[u32], from: usize) -> bool {
     let Some((size, rest)) = cells.split_first() else {
         return true;
     };
-    // Equal cells are interchangeable: the next one need not look before this one's place.
+    // Equal cells are interchangeable, so the next one starts its search at this position.
     let next_from = |place: usize| if rest.first() == Some(size) { place } else { 0 };
     if *size > 8 {
         return brute_force_rack(workers, *size, rest);
@@ -119,13 +119,13 @@
     false
 }
 
-fn packs(audit: &GuaranteeAudit, with_short: bool) -> bool {
+fn packs(audit: &GuaranteeAudit, include_short: bool) -> bool {
     let mut workers: Vec<(usize, u32)> = audit
         .workers
         .iter()
         .map(|worker| (worker.rack, worker.reclaimable))
         .collect();
-    let short = audit.short.iter().filter(|_| with_short);
+    let short = audit.short.iter().filter(|_| include_short);
     let mut cells: Vec<u32> = audit
         .unused
         .iter()
@@ -167,21 +167,21 @@
                 cells,
                 size,
             );
-            let truth = Truth {
+            let actual_run = ActualRun {
                 run_ms: u64::from(*run_s) * 1_000 + 500,
                 fails: run_s % 16 == 15,
             };
-            jobs.push(zone.submit_job(spec, truth));
+            jobs.push(zone.submit_job(spec, actual_run));
         }
         Step::Burst { customer, size } => {
             for index in 0..12 {
                 let id = format!("j{number}b{index}");
                 let spec = job(&id, customer_of(*customer), "batch", 1, 1 << (size % 4));
-                let truth = Truth {
+                let actual_run = ActualRun {
                     run_ms: 30_000,
                     fails: false,
                 };
-                jobs.push(zone.submit_job(spec, truth));
+                jobs.push(zone.submit_job(spec, actual_run));
             }
         }
         Step::CancelWave { keep } => {
@@ -250,7 +250,7 @@
         zone.revive(&worker_name(index));
     }
     zone.run_for(150_000);
-    // A member that failed a moment ago is noticed with the next renewal; later none is left.
+    // A recently failed member is detected at the next renewal; after that no partial gang may remain.
     let before = zone.partial_gangs();
     zone.run_for(20_000);
     let lasting: Vec<_> = zone
@@ -259,24 +259,24 @@
         .cloned()
         .collect();
     assert!(lasting.is_empty(), "{lasting:?}");
-    // With every worker back and no quarantine, nothing may be short any more.
+    // With all workers up and none quarantined, all guaranteed cells that fit must be bound.
     let audit = zone.placer.audit_guarantees();
-    let is_judged = zone
+    let is_any_worker_not_live = zone
         .placer
         .status(None)
         .workers
         .iter()
         .any(|worker| worker.state != "live");
     assert!(
-        is_judged || audit.short.is_empty() || !packs(&audit, true),
+        is_any_worker_not_live || audit.short.is_empty() || !packs(&audit, true),
         "{audit:?}"
     );
 }
 
 #[test]
 fn verify_end_of_a_gang_frees_no_home_that_another_uses() {
-    // Found by quickcheck. Racks and workers are lost around covered work, a table edit moves the
-    // guarantees, and the end of one gang un-books accelerators that a later gang holds.
+    // Found by quickcheck: racks and workers are lost around guaranteed work and a table edit moves the
+    // guarantees, then the end of one gang marked accelerators of a later gang as unused.
     run(&[
         submit(201, true, 3, 131, 190),
         Step::TakeOver,
@@ -296,7 +296,7 @@
     ]);
 }
 
-/// A worker unlisted during a cancel showed its member to the next owner, which freed another's home.
+/// A worker unlisted during a cancel reported its member to the next owner, which freed another gang's cell.
 #[test]
 fn verify_gang_of_a_cancelled_job_shown_late_frees_no_home_of_a_later_one() {
     run(&[
@@ -312,7 +312,7 @@
     ]);
 }
 
-/// A home that had to lie around covered work stayed short after this work had ended.
+/// A cell that did not fit around guaranteed work stayed unbound after that work had ended.
 #[test]
 fn verify_short_home_is_laid_anew_once_covered_work_ends() {
     run(&[
@@ -338,7 +338,7 @@
     ]);
 }
 
-/// A home stayed short after the rack that covered work had kept from it was free again.
+/// A cell stayed unbound after guaranteed work had released the rack that the cell needed.
 #[test]
 fn verify_short_home_is_laid_anew_once_a_rack_is_free() {
     run(&[
@@ -360,7 +360,7 @@
     ]);
 }
 
-/// Work that the homes no longer held kept another customer's home short.
+/// Work that had lost its guarantee kept another customer's cell unbound.
 #[test]
 fn verify_work_without_its_guarantee_keeps_no_home_short() {
     run(&[
--- a/ragwortwick-policy/tests/zone_packing.rs
+++ b/ragwortwick-policy/tests/zone_packing.rs
@@ -39,7 +39,7 @@
     }
 }
 
-/// Tries every place for every cell.
+/// Tries every position for every cell.
 fn brute_force(racks: &mut Vec<Vec<u32>>, cells: &[u32]) -> bool {
     let Some((size, rest)) = cells.split_first() else {
         return true;
--- a/ragwortwick-policy/tests/zone_proofs.rs
+++ b/ragwortwick-policy/tests/zone_proofs.rs
@@ -1,11 +1,11 @@
-//! Proofs by failure: no gang runs partially, and a guarantee can always be reclaimed in time.
+//! Fault injection: no gang runs partially, and a guarantee can always be reclaimed in time.
 
 mod fake_zone;
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use fake_zone::tables::table;
-use fake_zone::{FakeZone, Fate, Truth, job};
+use fake_zone::{ActualRun, Delivery, FakeZone, job};
 use quickcheck::QuickCheck;
 use ragwortwick_border::{JobPhase, WorkerCommand, WorkerOutcome};
 use ragwortwick_core::{Epoch, GangId, JobId, WorkerName};
@@ -13,12 +13,12 @@
 
 const RACK: &[u32] = &[8, 8, 8, 8];
 
-const LONG: Truth = Truth {
+const LONG_RUN: ActualRun = ActualRun {
     run_ms: 3_600_000,
     fails: false,
 };
 
-/// Gangs that are partial now and still are after every notice of a lost member must be in.
+/// Returns gangs that are partial now and after the time in which every lost member is detected.
 fn lasting_partial(zone: &mut FakeZone) -> Vec<GangId> {
     let before = zone.partial_gangs();
     zone.run_for(20_000);
@@ -30,18 +30,18 @@
 
 #[test]
 fn verify_unanswered_reservation_releases_the_others() {
-    // One worker never gets its reservation. Its neighbour has accepted; the owner hears nothing,
-    // gives the gang up before any commit, and the neighbour's accelerators are free again.
+    // One worker never receives its reservation, while the others accept theirs. The order times out, the
+    // owner aborts the gang before any commit, and the accelerators of the others are freed.
     let mut zone = FakeZone::started(&[RACK], table(&[]));
-    zone.set_fates(|worker, command| {
+    zone.set_delivery(|worker, command| {
         let is_reserve = matches!(command, WorkerCommand::Reserve(_));
         if is_reserve && worker.as_str() == "r00w0" {
-            Fate::LoseOrder
+            Delivery::LoseOrder
         } else {
-            Fate::Deliver
+            Delivery::Deliver
         }
     });
-    zone.submit_job(job("j1", "a", "batch", 4, 8), LONG);
+    zone.submit_job(job("j1", "a", "batch", 4, 8), LONG_RUN);
     zone.run_for(1_200);
     assert!(zone.commits.is_empty());
     assert!(zone.workers.values().all(|worker| worker.gangs.is_empty()));
@@ -49,42 +49,42 @@
 
 #[test]
 fn verify_lost_answer_to_a_commit_starts_the_member_once() {
-    // The commit takes effect but its answer is lost. The owner can't tell and asks again; the
-    // worker knows the gang, so nothing starts twice and the gang counts as whole.
+    // The commit takes effect but its reply is lost. The owner repeats the commit; the worker already
+    // runs the member, so nothing starts twice and the gang counts as whole.
     let mut zone = FakeZone::started(&[RACK], table(&[]));
     let mut is_lost = false;
-    zone.set_fates(move |_, command| {
+    zone.set_delivery(move |_, command| {
         if matches!(command, WorkerCommand::Commit(_)) && !is_lost {
             is_lost = true;
-            return Fate::LoseAnswer;
+            return Delivery::LoseReply;
         }
-        Fate::Deliver
+        Delivery::Deliver
     });
-    let job_id = zone.submit_job(job("j1", "a", "batch", 2, 8), LONG);
+    let job_id = zone.submit_job(job("j1", "a", "batch", 2, 8), LONG_RUN);
     zone.run_for(5_000);
     assert_eq!(zone.start_count(&job_id), 1);
-    // The first attempt itself goes on; stopping it for a lost answer would waste it.
+    // The first attempt continues; stopping it because of a lost reply would lose its work.
     assert_eq!(zone.running(&job_id), BTreeSet::from([GangId::new("j1.1")]));
     assert!(zone.partial_gangs().is_empty());
 }
 
 #[test]
 fn verify_commit_that_never_arrives_stops_the_whole_gang() {
-    // All commits to one worker are lost although it answers everything else. Its neighbour runs.
-    // Its reservation lapses, the worker then knows no such gang, and the owner stops the rest.
+    // All commits to one worker are lost, though it replies to all other orders, and the other members run.
+    // Its reservation expires, the worker no longer knows the gang, and the owner stops the rest.
     let mut zone = FakeZone::started(&[RACK], table(&[]));
-    zone.set_fates(|worker, command| {
+    zone.set_delivery(|worker, command| {
         let is_commit = matches!(command, WorkerCommand::Commit(_));
         if is_commit && worker.as_str() == "r00w0" {
-            Fate::LoseOrder
+            Delivery::LoseOrder
         } else {
-            Fate::Deliver
+            Delivery::Deliver
         }
     });
-    let job_id = zone.submit_job(job("j1", "a", "batch", 4, 8), LONG);
+    let job_id = zone.submit_job(job("j1", "a", "batch", 4, 8), LONG_RUN);
     zone.run_for(30_000);
     assert!(lasting_partial(&mut zone).is_empty());
-    zone.set_fates(|_, _| Fate::Deliver);
+    zone.set_delivery(|_, _| Delivery::Deliver);
     zone.run_for(120_000);
     assert_eq!(zone.running(&job_id).len(), 1);
     assert!(zone.partial_gangs().is_empty());
@@ -92,19 +92,19 @@
 
 #[test]
 fn verify_uncommitted_gang_of_a_dead_owner_is_released() {
-    // The owner dies after the reservations and before any commit. Nothing has run, so the new
-    // owner releases all members and starts the job afresh, without waiting for leases to lapse.
+    // The owner dies after the reservations and before any commit. Nothing has run, so the new owner
+    // releases all members and starts the job again without waiting for leases to expire.
     let mut zone = FakeZone::started(&[RACK], table(&[]));
-    zone.set_fates(|_, command| {
+    zone.set_delivery(|_, command| {
         if matches!(command, WorkerCommand::Commit(_)) {
-            Fate::LoseOrder
+            Delivery::LoseOrder
         } else {
-            Fate::Deliver
+            Delivery::Deliver
         }
     });
-    let job_id = zone.submit_job(job("j1", "a", "batch", 4, 8), LONG);
+    let job_id = zone.submit_job(job("j1", "a", "batch", 4, 8), LONG_RUN);
     zone.run_for(10);
-    zone.set_fates(|_, _| Fate::Deliver);
+    zone.set_delivery(|_, _| Delivery::Deliver);
     zone.take_over();
     zone.run_for(2_000);
     assert_eq!(zone.running(&job_id).len(), 1);
@@ -113,10 +113,10 @@
 
 #[test]
 fn verify_paused_owner_that_wakes_is_fenced_and_stops_acting() {
-    // An owner is paused after its first commit. Another takes the zone and finishes the gang. The
-    // old one wakes and goes on: the worker refuses its epoch, and it must not order anything more.
+    // An owner is paused after its first commit, and another takes the zone and completes the start. When
+    // the old owner resumes, a worker refuses its epoch, and it must send no further order.
     let mut zone = FakeZone::started(&[RACK], table(&[]));
-    let job_id = zone.submit_job(job("j1", "a", "batch", 2, 8), LONG);
+    let job_id = zone.submit_job(job("j1", "a", "batch", 2, 8), LONG_RUN);
     zone.run_for(10);
     let placer = ragwortwick_policy::ZonePlacer::new(
         fake_zone::ZONE.into(),
@@ -127,18 +127,18 @@
     zone.take_over();
     zone.run_for(2_000);
     let now = zone.now;
-    let woken = old.on_event(now, ZoneEvent::Tick);
+    let actions = old.on_event(now, ZoneEvent::Tick);
     let Some(ZoneAction::Order {
         order,
         worker,
         command,
-    }) = woken.into_iter().next()
+    }) = actions.into_iter().next()
     else {
         panic!("the old owner renews its workers");
     };
-    let truths = BTreeMap::new();
-    let answering = zone.workers.get_mut(&worker).expect("known worker");
-    let reply = answering.obey(now, Epoch(1), &command, &truths);
+    let actual_runs = BTreeMap::new();
+    let replying_worker = zone.workers.get_mut(&worker).expect("known worker");
+    let reply = replying_worker.execute(now, Epoch(1), &command, &actual_runs);
     assert_eq!(reply.outcome, WorkerOutcome::StaleEpoch);
     let after = old.on_event(
         now,
@@ -158,22 +158,24 @@
 
 #[test]
 fn verify_death_of_a_worker_in_any_phase_leaves_no_partial_gang() {
-    // One worker of a gang dies at some instant between its reservation and its stop. The other
-    // members are released or stopped, and the job runs whole again later.
+    // One worker of a gang dies at various times between its reservation and its stop. The other members
+    // are released or stopped, and a later attempt runs all members.
     for kill_after_ms in [0, 1, 2, 3, 5, 100, 1_500, 2_001, 2_500, 4_000] {
         let mut zone = FakeZone::started(&[RACK], table(&[("b", 2, 8)]));
-        let job_id = zone.submit_job(job("j1", "a", "batch", 3, 8), LONG);
+        let job_id = zone.submit_job(job("j1", "a", "batch", 3, 8), LONG_RUN);
         if kill_after_ms > 2_000 {
-            // By then the gang is being stopped for a guarantee.
+            // At this time the gang is being preempted for a guarantee.
             zone.run_for(2_000);
-            zone.submit_job(job("u1", "b", "urgent", 2, 8), LONG);
+            zone.submit_job(job("u1", "b", "urgent", 2, 8), LONG_RUN);
             zone.run_for(kill_after_ms - 2_000);
         } else {
             zone.run_for(kill_after_ms);
         }
         let holds = |name: &&WorkerName| {
             let gangs = &zone.workers[*name].gangs;
-            gangs.values().any(|held| held.spec.job_id == job_id)
+            gangs
+                .values()
+                .any(|allocation| allocation.spec.job_id == job_id)
         };
         let victim = zone
             .workers
@@ -200,31 +202,31 @@
 
 #[test]
 fn verify_no_partial_gang_and_no_second_start_under_random_loss() {
-    // Orders and answers are lost or refused at random while owners change. Once that ends, no gang
-    // is partial, every repeatable job ends, and no other job was committed in two gangs.
+    // Orders and replies are lost or refused at random while owners change. Afterwards no gang is partial,
+    // every repeatable job has finished, and no other job was committed in two gangs.
     #[expect(
         clippy::needless_pass_by_value,
         reason = "quickcheck hands over owned values"
     )]
-    fn holds(fates: Vec<u8>, takeovers: Vec<u16>) -> bool {
+    fn holds(delivery_rule: Vec<u8>, takeovers: Vec<u16>) -> bool {
         let mut zone = FakeZone::started(&[RACK, RACK], table(&[("a", 1, 16), ("b", 2, 8)]));
-        let mut next = fates.into_iter();
-        zone.set_fates(move |_, _| match next.next().unwrap_or(0) % 8 {
-            5 => Fate::LoseOrder,
-            6 => Fate::LoseAnswer,
-            7 => Fate::Refuse,
-            _ => Fate::Deliver,
+        let mut next = delivery_rule.into_iter();
+        zone.set_delivery(move |_, _| match next.next().unwrap_or(0) % 8 {
+            5 => Delivery::LoseOrder,
+            6 => Delivery::LoseReply,
+            7 => Delivery::Refuse,
+            _ => Delivery::Deliver,
         });
         let mut jobs = Vec::new();
         for number in 0..6 {
             let customer = ["a", "b"][number % 2];
             let mut spec = job(&format!("j{number}"), customer, "batch", 2, 8);
             spec.repeatable = number % 3 != 0;
-            let truth = Truth {
+            let actual_run = ActualRun {
                 run_ms: 20_000,
                 fails: false,
             };
-            jobs.push((zone.submit_job(spec.clone(), truth), spec.repeatable));
+            jobs.push((zone.submit_job(spec.clone(), actual_run), spec.repeatable));
         }
         for span in takeovers.iter().take(3) {
             zone.run_for(u64::from(*span % 4_000));
@@ -257,11 +259,11 @@
 
 #[test]
 fn verify_urgent_work_starts_within_five_seconds_on_a_full_zone() {
-    // Borrowed work holds every accelerator, and one of its workers dies as the guarantee is
-    // called. The notice, the grace and the stop together stay under five seconds.
+    // Borrowed work occupies every accelerator when urgent jobs need the guarantee. The grace period,
+    // the stop and the start together must take at most five seconds.
     let mut zone = FakeZone::started(&[RACK, RACK], table(&[("a", 1, 16), ("a", 2, 4)]));
     for number in 0..8 {
-        zone.submit_job(job(&format!("b{number}"), "b", "batch", 1, 8), LONG);
+        zone.submit_job(job(&format!("b{number}"), "b", "batch", 1, 8), LONG_RUN);
     }
     zone.run_for(10_000);
     for number in 0..2 {
@@ -278,8 +280,8 @@
 
 #[test]
 fn verify_lost_rack_is_reported_as_shortage_and_mended_on_return() {
-    // A rack with guaranteed cells is lost. What no longer fits is told once, with the number of
-    // cells, and told as none again when the rack is back.
+    // A rack with guaranteed cells is lost. The number of cells that no longer fit is reported once,
+    // and a shortage of 0 is reported when the rack is back.
     let mut zone = FakeZone::started(&[RACK, RACK], table(&[("a", 2, 32)]));
     for index in 0..4 {
         zone.kill(&WorkerName::new(format!("r01w{index}")));
@@ -293,7 +295,7 @@
     zone.run_for(30_000);
     let status = zone.placer.status(None);
     assert_eq!(status.guarantees[0].cells_short, 0);
-    let told: Vec<u32> = zone
+    let reported: Vec<u32> = zone
         .notices
         .iter()
         .filter_map(|(_, notice)| match notice {
@@ -301,13 +303,13 @@
             _ => None,
         })
         .collect();
-    assert_eq!(told, vec![1, 0]);
+    assert_eq!(reported, vec![1, 0]);
 }
 
 #[test]
 fn verify_worker_that_fails_everything_is_quarantined_and_comes_back_by_a_trial() {
-    // A worker fails all that it starts, quickly, so it is always idle and attracts every job.
-    // After three different jobs it is put aside; mended, one trial brings it back.
+    // A worker fails everything it starts within seconds, so it is always idle and attracts every job.
+    // It is quarantined after three different jobs; once repaired, one successful trial ends that.
     let mut zone = FakeZone::started(&[RACK], table(&[]));
     let bad = WorkerName::new("r00w0");
     zone.break_worker(&bad, true);
@@ -339,14 +341,14 @@
 
 #[test]
 fn verify_job_that_fails_everywhere_is_stopped_and_blames_no_worker() {
-    // Four jobs that always fail are tried on three workers each. They are stopped as failed, and
-    // the evidence against the workers is taken back.
+    // A job that always fails is tried on three workers. It ends as failed, and its failures no longer
+    // count against these workers.
     let mut zone = FakeZone::started(&[RACK], table(&[]));
-    let hopeless = Truth {
+    let always_fails = ActualRun {
         run_ms: 1_000,
         fails: true,
     };
-    let job_id = zone.submit_job(job("j1", "a", "batch", 1, 8), hopeless);
+    let job_id = zone.submit_job(job("j1", "a", "batch", 1, 8), always_fails);
     zone.run_for(60_000);
     assert_eq!(zone.phase(&job_id), JobPhase::Failed);
     assert_eq!(zone.commits.len(), 3);
@@ -360,23 +362,23 @@
 
 #[test]
 fn verify_large_job_within_its_guarantee_starts_within_the_stated_bound() {
-    // An urgent job opens the customer's large cell, and small jobs of the same customer keep the
-    // rest of it busy for ever after. The large job came before them: after ten minutes it takes
-    // the cell back from this younger work, which starts again where it can.
+    // An urgent job splits the customer's large cell, and a steady flow of small jobs of the same customer
+    // keeps the rest of it busy. The large job was accepted before them: after ten minutes it reclaims
+    // the cell from this younger work, which is requeued.
     let mut zone = FakeZone::started(&[RACK], table(&[("a", 1, 32)]));
-    let truth = Truth {
+    let actual_run = ActualRun {
         run_ms: 30_000,
         fails: false,
     };
-    zone.submit_job(job("u", "a", "urgent", 1, 8), truth);
+    zone.submit_job(job("u", "a", "urgent", 1, 8), actual_run);
     zone.run_for(1_000);
-    let large = zone.submit_job(job("large", "a", "batch", 1, 32), LONG);
+    let large = zone.submit_job(job("large", "a", "batch", 1, 32), LONG_RUN);
     for number in 0..80 {
-        let truth = Truth {
+        let actual_run = ActualRun {
             run_ms: 400_000,
             fails: false,
         };
-        zone.submit_job(job(&format!("s{number}"), "a", "batch", 1, 8), truth);
+        zone.submit_job(job(&format!("s{number}"), "a", "batch", 1, 8), actual_run);
         zone.run_for(10_000);
     }
     let submitted = zone.records[&large].accepted_at_ms;
@@ -387,24 +389,24 @@
 
 #[test]
 fn verify_recorded_start_of_a_dead_owner_is_never_repeated() {
-    // A job that must not repeat was recorded and one of its two members committed; its worker is
-    // then cut off, and the owner dies. The new owner sees a reservation that lapses and nothing
-    // else. The job may run on the silent worker, so it must end as "may have run".
+    // The start of an unrepeatable job was recorded and one of its two members committed; its worker is
+    // then cut off and the owner dies. The new owner finds only a reservation, which expires. The job
+    // may still run on the unresponsive worker, so it must end as "may have run".
     let mut zone = FakeZone::started(&[&[8, 8]], table(&[]));
     let mut commits = 0;
-    zone.set_fates(move |_, command| {
+    zone.set_delivery(move |_, command| {
         if matches!(command, WorkerCommand::Commit(_)) {
             commits += 1;
         }
         if commits > 1 {
-            Fate::LoseOrder
+            Delivery::LoseOrder
         } else {
-            Fate::Deliver
+            Delivery::Deliver
         }
     });
     let mut spec = job("j1", "a", "batch", 2, 8);
     spec.repeatable = false;
-    let job_id = zone.submit_job(spec, LONG);
+    let job_id = zone.submit_job(spec, LONG_RUN);
     zone.run_for(20);
     assert_eq!(zone.commits.len(), 1);
     let cut_off = zone.commits[0].1.clone();
@@ -412,7 +414,7 @@
         .get_mut(&cut_off)
         .expect("known worker")
         .is_down = true;
-    zone.set_fates(|_, _| Fate::Deliver);
+    zone.set_delivery(|_, _| Delivery::Deliver);
     zone.take_over();
     zone.run_for(70_000);
     zone.workers
