--- a/ragwortwick-emulator/src/fault_injection.rs
+++ b/ragwortwick-emulator/src/fault_injection.rs
@@ -43,10 +43,10 @@
                     .map(|&worker_index| self.workers[worker_index].name.clone());
                 self.hosts[leader].unreachable_workers = names.collect();
             }
-            FaultKind::RepliesDropped if is_active => self.hosts[leader].loses_replies = true,
+            FaultKind::AnswersCut if is_active => self.hosts[leader].loses_replies = true,
             FaultKind::CoordinatorCutFromStore
             | FaultKind::CoordinatorCutFromWorkers
-            | FaultKind::RepliesDropped => {
+            | FaultKind::AnswersCut => {
                 for host in &mut self.hosts {
                     host.is_partitioned_from_store = false;
                     host.unreachable_workers.clear();
@@ -54,10 +54,10 @@
                 }
             }
             FaultKind::CoordinatorKilled | FaultKind::CoordinatorFrozen => {}
-            FaultKind::StoreUnavailable => self.store.is_unavailable = is_active,
-            FaultKind::StoreRepliesLost => self.store.loses_replies = is_active,
+            FaultKind::StoreAway => self.store.is_unavailable = is_active,
+            FaultKind::StoreAnswersLost => self.store.loses_replies = is_active,
             FaultKind::WorkersCrash => self.set_power_loss(&every_eighth, is_active),
-            FaultKind::RackPowerLoss => {
+            FaultKind::RackOut => {
                 let first = index * self.options.workers_per_rack as usize % self.workers.len();
                 let rack = &self.workers[first].rack;
                 let is_in_rack = |worker_index: &usize| self.workers[*worker_index].rack == *rack;
--- a/ragwortwick-emulator/src/faults.rs
+++ b/ragwortwick-emulator/src/faults.rs
@@ -18,14 +18,11 @@
     /// The coordinator and a third of the workers can't reach each other.
     CoordinatorCutFromWorkers,
     /// Replies of workers to the coordinator are dropped.
-    #[serde(rename = "answers_cut")]
-    RepliesDropped,
+    AnswersCut,
     /// The store is unavailable, and its leases expire meanwhile.
-    #[serde(rename = "store_away")]
-    StoreUnavailable,
+    StoreAway,
     /// Writes take effect, but half of the replies are lost.
-    #[serde(rename = "store_answers_lost")]
-    StoreRepliesLost,
+    StoreAnswersLost,
     /// Some workers crash and restart as another incarnation.
     WorkersCrash,
     /// Some orders time out and are carried out seconds later.
@@ -39,8 +36,7 @@
     /// Runs on some workers are stalled; only set by workload files, not drawn.
     WorkersHang,
     /// All workers of one rack lose power; only set by workload files, not drawn.
-    #[serde(rename = "rack_out")]
-    RackPowerLoss,
+    RackOut,
     /// Some workers have half of their capacity; only set by workload files, not drawn.
     CapacityShrinks,
 }
@@ -51,9 +47,9 @@
     FaultKind::CoordinatorFrozen,
     FaultKind::CoordinatorCutFromStore,
     FaultKind::CoordinatorCutFromWorkers,
-    FaultKind::RepliesDropped,
-    FaultKind::StoreUnavailable,
-    FaultKind::StoreRepliesLost,
+    FaultKind::AnswersCut,
+    FaultKind::StoreAway,
+    FaultKind::StoreAnswersLost,
     FaultKind::WorkersCrash,
     FaultKind::OrdersLate,
     FaultKind::WorkersLeave,
--- a/ragwortwick-emulator/tests/seeds.rs
+++ b/ragwortwick-emulator/tests/seeds.rs
@@ -79,7 +79,7 @@
 #[test]
 fn verify_outage_of_the_store_kills_no_work() {
     let outage = Fault {
-        kind: FaultKind::StoreUnavailable,
+        kind: FaultKind::StoreAway,
         at: TimeMs(8_000),
         for_ms: DurationMs(5_000),
     };
