--- a/ragwortwick-emulator/src/arrivals.rs
+++ b/ragwortwick-emulator/src/arrivals.rs
@@ -191,13 +191,13 @@
 pub(crate) fn desired_state(workload: &Workload, accelerators: u64) -> DesiredState {
     let queues = workload.queues.iter().map(|queue| {
         let name = &queue.name;
-        let state = Queue {
+        let desired_queue = Queue {
             host: "jobs.example".into(),
             path_prefix: format!("/{name}/").into(),
             policy: queue_policy(queue),
             is_public: false,
         };
-        (ClassName::new(name), state)
+        (ClassName::new(name), desired_queue)
     });
     let shares = workload.guaranteed_shares.iter().enumerate();
     let customers = shares.map(|(number, share)| {
--- a/ragwortwick-emulator/src/coordination.rs
+++ b/ragwortwick-emulator/src/coordination.rs
@@ -127,8 +127,8 @@
         for record in &records {
             self.store_progress(&record.job_id, &record.progress);
         }
-        let is_lost = self.store.loses_replies && self.rng.random_bool(0.5);
-        let delay_ms = if is_lost { 120 } else { 2 };
+        let is_reply_lost = self.store.loses_replies && self.rng.random_bool(0.5);
+        let delay_ms = if is_reply_lost { 120 } else { 2 };
         let event = Event::BatchStored { batch };
         self.schedule_after(delay_ms, SimEvent::DeliverEvent { host, term, event });
     }
@@ -138,7 +138,7 @@
         let Some(job) = self.store.jobs.get_mut(job_id) else {
             return;
         };
-        let previous_phase = job.progress.as_ref().map(|known| known.phase);
+        let previous_phase = job.progress.as_ref().map(|previous| previous.phase);
         job.progress = Some(progress.clone());
         if previous_phase == Some(progress.phase) {
             return;
--- a/ragwortwick-emulator/src/fault_injection.rs
+++ b/ragwortwick-emulator/src/fault_injection.rs
@@ -1,4 +1,4 @@
-//! Injection of faults: the begin and the end of each.
+//! Injection of faults: the beginning and the end of each.
 
 use ragwortwick_area::{PollFailure, Resources};
 
@@ -12,7 +12,7 @@
         let fault = self.faults[index];
         let until = fault.at + fault.for_ms;
         let holder = self.store.coordinator.map(|(term, _)| term);
-        let leader = (0..self.hosts.len())
+        let coordinator_host = (0..self.hosts.len())
             .find(|&host| {
                 let term = self.hosts[host].term.as_ref();
                 term.is_some_and(|term| Some(term.number) == holder)
@@ -26,24 +26,24 @@
             .collect();
         match fault.kind {
             FaultKind::CoordinatorKilled if is_active => {
-                self.hosts[leader] = Host {
+                self.hosts[coordinator_host] = Host {
                     down_until: Some(until),
                     ..Host::default()
                 };
             }
             FaultKind::CoordinatorFrozen if is_active => {
-                self.hosts[leader].frozen_until = Some(until);
+                self.hosts[coordinator_host].frozen_until = Some(until);
             }
             FaultKind::CoordinatorCutFromStore if is_active => {
-                self.hosts[leader].is_partitioned_from_store = true;
+                self.hosts[coordinator_host].is_partitioned_from_store = true;
             }
             FaultKind::CoordinatorCutFromWorkers if is_active => {
                 let names = every_third
                     .iter()
                     .map(|&worker_index| self.workers[worker_index].name.clone());
-                self.hosts[leader].unreachable_workers = names.collect();
+                self.hosts[coordinator_host].unreachable_workers = names.collect();
             }
-            FaultKind::AnswersCut if is_active => self.hosts[leader].loses_replies = true,
+            FaultKind::AnswersCut if is_active => self.hosts[coordinator_host].loses_replies = true,
             FaultKind::CoordinatorCutFromStore
             | FaultKind::CoordinatorCutFromWorkers
             | FaultKind::AnswersCut => {
--- a/ragwortwick-emulator/src/invariants.rs
+++ b/ragwortwick-emulator/src/invariants.rs
@@ -11,7 +11,7 @@
 /// Time after a job is cancelled in which its runs may still start.
 const MAX_START_AFTER_CANCEL_MS: DurationMs = DurationMs(3_000);
 
-/// Worker crashes by one task after which its starts are counted, and how many of them are a violation.
+/// Worker crashes by one task after which its starts are counted, and the count that is a violation.
 const TOLERATED_CRASHES: u32 = 3;
 const EXCESSIVE_STARTS: u32 = 3;
 
@@ -38,10 +38,10 @@
     pub(crate) counts_by_job: BTreeMap<JobId, RunCounts>,
 }
 
-/// `RunCounts` counts the runs of one job by how they ended.
+/// `RunCounts` counts the runs of one job by how they ended, and records its first start.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RunCounts {
-    pub(crate) first_start: Option<TimeMs>,
+    pub(crate) first_start_at: Option<TimeMs>,
     pub(crate) stopped: u32,
     pub(crate) failed: u32,
     pub(crate) expired: u32,
@@ -75,7 +75,7 @@
 }
 
 impl GroundTruth {
-    fn report(&mut self, now: TimeMs, text: &str) {
+    fn add_violation(&mut self, now: TimeMs, text: &str) {
         self.violations.push(format!("at {now} ms: {text}"));
     }
 
@@ -85,7 +85,7 @@
             .counts_by_job
             .entry(start.task.job_id.clone())
             .or_default();
-        counts.first_start.get_or_insert(start.now);
+        counts.first_start_at.get_or_insert(start.now);
         let (task, run, worker) = (start.task, start.run, start.worker);
         let mut violations: Vec<String> = Vec::new();
         if !start.other_workers.is_empty() {
@@ -147,7 +147,7 @@
         }
         for violation in violations {
             let text = format!("{task} run {run} on {worker}: {violation}");
-            self.report(start.now, &text);
+            self.add_violation(start.now, &text);
         }
     }
 
@@ -166,7 +166,7 @@
         let has_crashed =
             crashes.any(|(task, (crashes, _))| of_job(task) && *crashes >= CRASHES_FOR_FAILURE);
         if !has_failed && !has_crashed {
-            self.report(
+            self.add_violation(
                 now,
                 &format!("{job_id} is reported as failed without cause"),
             );
@@ -219,22 +219,22 @@
         is_all_done: bool,
     ) {
         if phase == JobPhase::Completed && !is_all_done {
-            self.report(
+            self.add_violation(
                 now,
-                &format!("{job_id} is reported as completed and is not"),
+                &format!("{job_id} is reported as completed, but is not"),
             );
         }
     }
 
     pub(crate) fn report_unfinished(&mut self, now: TimeMs, job_id: &JobId, phase: JobPhase) {
-        self.report(
+        self.add_violation(
             now,
             &format!("{job_id} is still {phase:?} at the end of the simulation"),
         );
     }
 }
 
-/// Returns the task whose failures count the run's failure; the members of a gang share the first member's.
+/// Returns the task for which the run's failure is counted; a gang's failures count for its first member.
 fn failure_key(task: &TaskId, is_gang: bool) -> TaskId {
     let index = if is_gang { 0 } else { task.index };
     TaskId {
--- a/ragwortwick-emulator/src/runs.rs
+++ b/ragwortwick-emulator/src/runs.rs
@@ -38,7 +38,7 @@
             .iter()
             .map(|(_, worker_index)| self.workers[*worker_index].rack.as_str())
             .collect();
-        let remote_penalty = if spec.wants_same_rack && racks.len() > 1 {
+        let cross_rack_penalty = if spec.wants_same_rack && racks.len() > 1 {
             3.0
         } else {
             1.0
@@ -46,7 +46,7 @@
         for (position, (id, worker_index)) in members.iter().enumerate() {
             let worker = &self.workers[*worker_index];
             let (slowdown, is_hung, checkpoint_policy) = (
-                worker.slowdown() * remote_penalty,
+                worker.slowdown() * cross_rack_penalty,
                 worker.is_hung,
                 worker.checkpoint_policy,
             );
--- a/ragwortwick-emulator/src/simulation.rs
+++ b/ragwortwick-emulator/src/simulation.rs
@@ -27,7 +27,7 @@
 /// Interval at which workers' entries and lease renewals reach the coordinator.
 pub(crate) const FEED_MS: DurationMs = DurationMs(400);
 
-/// Time without arrivals and faults at the end of a run, in which every job has to end.
+/// Time without arrivals and faults at the end of a simulation, in which every job has to end.
 const SETTLE_MS: DurationMs = DurationMs(240_000);
 
 /// `SimulationOptions` holds the parameters of a simulation.
@@ -128,7 +128,7 @@
     pub(crate) will_fail: bool,
 }
 
-/// `Simulation` is one simulated run of an area.
+/// `Simulation` holds the state of one simulation of an area.
 #[derive(Debug)]
 pub struct Simulation {
     pub(crate) options: SimulationOptions,
@@ -148,7 +148,7 @@
     pub(crate) desired_state: Arc<DesiredState>,
     pub(crate) advisor: Advisor,
     pub(crate) is_delaying_orders: bool,
-    pub(crate) quiet_from: TimeMs,
+    pub(crate) inputs_end_at: TimeMs,
     pub(crate) last_feed_at: TimeMs,
     pub(crate) last_renewal_at: TimeMs,
     pub(crate) completed_at: BTreeMap<JobId, TimeMs>,
@@ -208,7 +208,7 @@
             desired_state: Arc::new(desired_state(&options.workload, accelerators)),
             advisor: Advisor::default(),
             is_delaying_orders: false,
-            quiet_from: last_fault.max(last_arrival),
+            inputs_end_at: last_fault.max(last_arrival),
             last_feed_at: TimeMs(0),
             last_renewal_at: TimeMs(0),
             completed_at: BTreeMap::new(),
@@ -243,17 +243,17 @@
         self.events.insert(self.last_event_id, event);
     }
 
-    pub(crate) fn schedule_after(&mut self, span_ms: u64, event: SimEvent) {
-        self.schedule_at(self.now + DurationMs(span_ms), event);
+    pub(crate) fn schedule_after(&mut self, delay_ms: u64, event: SimEvent) {
+        self.schedule_at(self.now + DurationMs(delay_ms), event);
     }
 
     /// `run` processes all events and returns the results.
     #[must_use]
     pub fn run(mut self) -> SimulationReport {
-        let end = self.quiet_from + SETTLE_MS;
+        let end = self.inputs_end_at + SETTLE_MS;
         while let Some(Reverse((at, event_id))) = self.event_queue.pop() {
             self.now = at;
-            if at > end || (at > self.quiet_from && self.is_settled()) {
+            if at > end || (at > self.inputs_end_at && self.is_settled()) {
                 break;
             }
             if let Some(event) = self.events.remove(&event_id) {
@@ -302,7 +302,7 @@
                 let observation = JobObservation {
                     objective_ms: self.objective_ms(job_id),
                     critical_path_ms: self.critical_path_ms(job_id),
-                    first_start_ms: counts.first_start.map(|at| at.since(accepted_at).0),
+                    first_start_ms: counts.first_start_at.map(|at| at.since(accepted_at).0),
                     latency_ms,
                     counts,
                 };
@@ -332,7 +332,7 @@
         arrival.failure_probability >= 1.0 || arrival.crashing_task.is_some()
     }
 
-    /// Returns the latency objective by the true duration of the work.
+    /// Returns the latency objective, computed from the true duration of the work.
     pub(crate) fn objective_ms(&self, job_id: &JobId) -> u64 {
         let policy = &self.arrivals[self.arrival_by_job[job_id]].record.policy;
         policy
--- a/ragwortwick-emulator/src/store.rs
+++ b/ragwortwick-emulator/src/store.rs
@@ -54,7 +54,7 @@
         true
     }
 
-    pub(crate) fn known_jobs(&self) -> Vec<RecoveredJob> {
+    pub(crate) fn recovered_jobs(&self) -> Vec<RecoveredJob> {
         self.jobs
             .values()
             .map(|job| RecoveredJob {
--- a/ragwortwick-emulator/src/ticks.rs
+++ b/ragwortwick-emulator/src/ticks.rs
@@ -16,12 +16,12 @@
             self.tick_worker(index);
         }
         self.tick_gangs();
-        let is_feed = self.now.since(self.last_feed_at) >= FEED_MS;
-        if is_feed {
+        let is_feed_due = self.now.since(self.last_feed_at) >= FEED_MS;
+        if is_feed_due {
             self.last_feed_at = self.now;
         }
-        let is_renewal = self.now.since(self.last_renewal_at) >= FEED_MS;
-        if is_renewal {
+        let is_renewal_due = self.now.since(self.last_renewal_at) >= FEED_MS;
+        if is_renewal_due {
             self.last_renewal_at = self.now;
         }
         for host in 0..self.hosts.len() {
@@ -29,10 +29,10 @@
                 continue;
             }
             self.try_elect(host);
-            if is_renewal {
+            if is_renewal_due {
                 self.renew_term(host);
             }
-            self.feed_coordinator(host, is_feed);
+            self.feed_coordinator(host, is_feed_due);
         }
     }
 
@@ -61,7 +61,7 @@
             self.clock(),
             self.options.limits.clone(),
             Arc::clone(&self.desired_state),
-            self.store.known_jobs(),
+            self.store.recovered_jobs(),
             entries,
         );
         self.hosts[host].wakeup_at = None;
@@ -91,7 +91,7 @@
         }
     }
 
-    pub(crate) fn feed_coordinator(&mut self, host: usize, is_feed: bool) {
+    pub(crate) fn feed_coordinator(&mut self, host: usize, is_feed_due: bool) {
         if self.store.is_unavailable || !self.hosts[host].reaches_store() {
             return;
         }
@@ -109,7 +109,7 @@
                 events.push(Event::JobCancelled(job_id.clone()));
             }
         }
-        if is_feed {
+        if is_feed_due {
             let mut present = BTreeSet::new();
             for worker in self
                 .workers
--- a/ragwortwick-emulator/src/value.rs
+++ b/ragwortwick-emulator/src/value.rs
@@ -9,13 +9,13 @@
 use crate::invariants::RunCounts;
 use crate::workload::{QueueWorkload, Workload};
 
-/// A late job still has value up to this multiple of its objective; after it, it has none.
+/// Multiple of its objective up to which a late job still has value; after that, it has none.
 const LATE_FACTOR: u64 = 3;
 
 /// `ValueAccount` sums the value that jobs could earn and the value they earned.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ValueAccount {
-    /// Value of the jobs if all of them are in time.
+    /// Value of the jobs if all of them met their objectives.
     pub owed: f64,
     /// Value earned, which depends on how late each job completed.
     pub earned: f64,
@@ -46,7 +46,7 @@
     Failed,
     /// The lease of a run expired.
     Lapsed,
-    /// It started in time, and a run of it was stopped.
+    /// It started in time to meet its objective, but a run of it was stopped.
     Displaced,
     /// It started too late to meet its objective.
     Waited,
@@ -54,13 +54,13 @@
     Slow,
 }
 
-/// `LostWorkCause` is why work was lost.
+/// `LostWorkCause` is the reason why the work of a run was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LostWorkCause {
-    /// It was preempted, or its worker was draining.
+    /// The run was preempted, or its worker was draining.
     Displaced,
-    /// Its caller cancelled it.
+    /// Its job was cancelled.
     Cancelled,
     /// It failed.
     Failed,
@@ -99,9 +99,9 @@
     pub objective_ms: u64,
     /// Time from acceptance to its first start.
     pub first_start_ms: Option<u64>,
-    /// Time from acceptance to its end.
+    /// Time from acceptance to completion, if it completed.
     pub latency_ms: Option<u64>,
-    /// Runs that were stopped.
+    /// Number of its runs that were stopped.
     pub stopped: u32,
     /// Why it lost value, if it did.
     pub cause: Option<ValueLossCause>,
--- a/ragwortwick-emulator/src/worker.rs
+++ b/ragwortwick-emulator/src/worker.rs
@@ -113,7 +113,7 @@
     pub(crate) capacity: Resources,
     /// When its capacity shrank; none while it has its full capacity.
     pub(crate) shrunk_at: Option<TimeMs>,
-    /// Offset of the worker's clock from the simulation's clock; it also runs slightly slow.
+    /// Offset of the worker's clock from the simulation's clock; the former also runs one per cent slow.
     clock_offset_ms: u64,
     pub(crate) reachability: Reachability,
     pub(crate) draining_since: Option<TimeMs>,
@@ -126,14 +126,14 @@
     pub(crate) fencing_token: u64,
     /// When the lease of all runs expires, on the worker's clock.
     lease_until: u64,
-    /// Run ends up to this number were listed when the lease expired and killed all runs. By the platform's
-    /// rules, a later acknowledgement of them has no effect.
+    /// Run ends up to this sequence number were listed when the lease expired and killed all runs. By the
+    /// platform's rules, a later acknowledgement of them has no effect.
     expired_through: u64,
     pub(crate) running: BTreeMap<TaskId, ActiveRun>,
     /// Highest run number that ended or was stopped, by task.
     highest_ended_run: BTreeMap<TaskId, u32>,
     pub(crate) ended: Vec<EndedTask>,
-    next_end: u64,
+    next_sequence: u64,
     pub(crate) pending_poll: Option<PendingPoll>,
 }
 
@@ -188,7 +188,7 @@
             running: BTreeMap::new(),
             highest_ended_run: BTreeMap::new(),
             ended: Vec::new(),
-            next_end: 1,
+            next_sequence: 1,
             pending_poll: None,
         }
     }
@@ -238,7 +238,7 @@
         self.running.clear();
         self.highest_ended_run.clear();
         self.ended.clear();
-        self.next_end = 1;
+        self.next_sequence = 1;
         self.pending_poll = None;
     }
 
@@ -252,7 +252,7 @@
         if !self.is_lease_expired(now) {
             return Vec::new();
         }
-        self.expired_through = self.next_end - 1;
+        self.expired_through = self.next_sequence - 1;
         self.running.keys().cloned().collect()
     }
 
@@ -312,13 +312,13 @@
             self.checkpoint_policy.last_saved_ms(run.done_ms(now))
         };
         self.ended.push(EndedTask {
-            sequence: self.next_end,
+            sequence: self.next_sequence,
             task: task.clone(),
             run: run.run,
             kind,
             checkpoint: checkpoint(task, &run, saved_ms),
         });
-        self.next_end += 1;
+        self.next_sequence += 1;
         Some(run)
     }
 
--- a/ragwortwick-emulator/src/workload.rs
+++ b/ragwortwick-emulator/src/workload.rs
@@ -6,7 +6,7 @@
 
 use crate::faults::Fault;
 
-/// Default workload, which the fixed seeds of the tests are drawn from.
+/// Default workload, from which the tests with fixed seeds draw their jobs.
 const ACCELERATORS: &str = include_str!("../loads/accelerators.json");
 
 /// `Workload` describes one installation and the jobs submitted to it.
@@ -25,7 +25,7 @@
     /// The seeds kept as regression tests were found with this disabled.
     #[serde(rename = "restores")]
     pub restores_checkpoints: bool,
-    /// Duration of a stop.
+    /// Time from a stop order to the end of the run.
     pub stop_ms: u64,
     /// Share of all accelerators that each customer is guaranteed.
     pub guaranteed_shares: Vec<f64>,
--- a/ragwortwick-emulator/tests/seeds.rs
+++ b/ragwortwick-emulator/tests/seeds.rs
@@ -169,19 +169,19 @@
     }
 }
 
-/// Guards against endless starts of a crashing task, and failure of jobs that lost their workers otherwise.
+/// Guards against endless starts of a crashing task, and failed jobs whose workers were lost otherwise.
 #[test]
 fn verify_only_tasks_that_crash_their_workers_are_given_up() {
     assert_workload_holds(CRASHERS, 700);
 }
 
-/// Guards against a start on a worker whose capacity has shrunk meanwhile and is exceeded by it.
+/// Guards against a start that exceeds the capacity of a worker after that capacity has shrunk.
 #[test]
 fn verify_no_start_exceeds_a_capacity_that_has_shrunk() {
     assert_workload_holds(SHRINKING, 800);
 }
 
-/// Guards against another start of a task that completed on an unreachable worker and is listed late.
+/// Guards against another start of a task whose completion on an unreachable worker is reported late.
 #[test]
 fn verify_nothing_is_started_after_an_end_that_is_listed_late() {
     let seed = 10_060;
