--- a/ragwortwick-daemon/src/area/action_dispatcher.rs
+++ b/ragwortwick-daemon/src/area/action_dispatcher.rs
@@ -57,7 +57,7 @@
     }
 
     fn write(&self, write: StoreWrite) {
-        // The writer only ends before the term if the key is lost, which ends the term as well.
+        // The writer ends before the term only if the coordinator key is lost, which ends the term as well.
         let _ = self.writes.send(write);
     }
 
@@ -104,7 +104,7 @@
             cause = cause,
             silence = lost.contact_loss.map_or_else(
                 || "none".to_owned(),
-                |silence| format!("{:?}", silence.kind)
+                |contact_loss| format!("{:?}", contact_loss.kind)
             ),
             runs = lost.runs.len(),
             youngest = youngest.map_or_else(String::new, |(task, _)| task.to_string()),
--- a/ragwortwick-daemon/src/area/batch_writer.rs
+++ b/ragwortwick-daemon/src/area/batch_writer.rs
@@ -62,8 +62,8 @@
         if !phase.is_final() {
             return;
         }
-        // A record is stored again while runs of an ended job are still stopping, which is no second end.
-        // The replica can't show this: its watch may have delivered the stored end already.
+        // A record is stored again while runs of an ended job are still stopping; its end is reported once.
+        // The replica can't detect the repeat: its watch may have delivered the stored end already.
         if !self.reported().insert(stored.job_id.clone()) {
             return;
         }
@@ -116,7 +116,7 @@
         .iter()
         .map(|(reason, loss)| format!("{reason}:{}:{}", loss.runs, loss.core_ms))
         .collect();
-    let displaced_by = accounting.preempted_by.as_ref().map_or("-", JobId::as_str);
+    let preempted_by = accounting.preempted_by.as_ref().map_or("-", JobId::as_str);
     log_event!(
         Info,
         "job_over",
@@ -136,11 +136,12 @@
         lost_ms = accounting.lost_ms,
         starts = accounting.starts,
         losses = losses.join(","),
-        displaced_by = displaced_by
+        displaced_by = preempted_by
     );
 }
 
-/// `BatchWriter` writes a term's batches, several concurrently: they contain records of different jobs.
+/// `BatchWriter` writes a term's batches, several concurrently, because they contain records of different
+/// jobs.
 #[derive(Clone)]
 pub(super) struct BatchWriter {
     pub(super) progress_store: ProgressStore,
@@ -154,7 +155,7 @@
     pub(super) async fn run(
         self,
         mut writes: mpsc::UnboundedReceiver<StoreWrite>,
-        end: mpsc::Sender<&'static str>,
+        end_sender: mpsc::Sender<&'static str>,
     ) {
         let mut batches = JoinSet::new();
         loop {
@@ -168,7 +169,7 @@
                 },
                 Some(written) = batches.join_next() => {
                     if !matches!(written, Ok(Ok(()))) {
-                        let _ = end.send("the coordinator key is lost").await;
+                        let _ = end_sender.send("the coordinator key is lost").await;
                         return;
                     }
                 }
--- a/ragwortwick-daemon/src/area/coordinator_handler.rs
+++ b/ragwortwick-daemon/src/area/coordinator_handler.rs
@@ -87,7 +87,7 @@
         }
     }
 
-    fn timestamps(&mut self, now: TimeMs) -> Now {
+    fn record_call_start(&mut self, now: TimeMs) -> Now {
         self.last_call = Now {
             steady: now,
             unix: unix_now(),
@@ -101,7 +101,7 @@
 
     fn on_event(&mut self, now: TimeMs, event: Event) {
         let started = Instant::now();
-        let now = self.timestamps(now);
+        let now = self.record_call_start(now);
         let actions = self.coordinator.on_event(now, event);
         self.send_actions(actions);
         self.coordinator.record_call_end(self.clock.now());
@@ -110,7 +110,7 @@
 
     fn on_wakeup(&mut self, now: TimeMs) {
         let started = Instant::now();
-        let now = self.timestamps(now);
+        let now = self.record_call_start(now);
         let actions = self.coordinator.on_wakeup(now);
         self.send_actions(actions);
         self.coordinator.record_call_end(self.clock.now());
--- a/ragwortwick-daemon/src/area/election.rs
+++ b/ragwortwick-daemon/src/area/election.rs
@@ -26,7 +26,7 @@
 /// Longest delay of a host with a small share of a core.
 const MAX_CPU_DELAY_MS: f64 = 500.0;
 
-/// Delay after a failed try.
+/// Delay after a failed try, or after the end of a term.
 const RETRY_DELAY_MS: DurationMs = DurationMs(200);
 
 /// Tries to become the coordinator until the host stops.
--- a/ragwortwick-daemon/src/area/host.rs
+++ b/ragwortwick-daemon/src/area/host.rs
@@ -25,8 +25,8 @@
 use super::term::TermContext;
 use crate::Clock;
 
-/// How long a stopping host accepts new connections: the load balancer probes once per second and sends no
-/// more after two probes that report not ready.
+/// How long a stopping host accepts new connections: the load balancer probes once per second and opens
+/// none after two probes that report not ready.
 const DRAIN_MS: DurationMs = DurationMs(3_000);
 
 /// Part of the grace period that is reserved for closing connections and ending the process.
@@ -62,7 +62,7 @@
 }
 
 impl AreaHost {
-    /// `spawn` starts all tasks and returns once the host accepts calls.
+    /// `spawn` starts all tasks and returns once the host accepts requests.
     ///
     /// # Errors
     ///
@@ -182,16 +182,17 @@
     }
 
     /// `close` stops the host as planned: it releases the coordinator key at once, serves clients until the
-    /// load balancer sends no more, and completes every request in progress.
+    /// load balancer sends no more requests, and completes every request in progress.
     pub async fn close(mut self) {
         log_event!(Info, "stopping", host = self.settings.host);
         self.stopping.send_replace(true);
         while self.election.join_next().await.is_some() {}
         tokio::time::sleep(DRAIN_MS.into()).await;
-        let left_ms = seconds_to_ms(self.settings.stop_grace_s)
+        let remaining_ms = seconds_to_ms(self.settings.stop_grace_s)
             .0
             .saturating_sub(DRAIN_MS.0 + STOP_RESERVE_MS.0);
-        let closing = tokio::time::timeout(DurationMs(left_ms).into(), self.server.close()).await;
+        let closing =
+            tokio::time::timeout(DurationMs(remaining_ms).into(), self.server.close()).await;
         self.feeds.shutdown().await;
         log_event!(
             Info,
--- a/ragwortwick-daemon/src/area/job_api.rs
+++ b/ragwortwick-daemon/src/area/job_api.rs
@@ -31,7 +31,7 @@
 /// Deadline of a request without a deadline header.
 const DEFAULT_DEADLINE_MS: DurationMs = DurationMs(3_000);
 
-/// Part of the deadline that is reserved for the response's way to the client.
+/// Part of the deadline that is reserved for sending the response to the client.
 const RESPONSE_MARGIN_MS: DurationMs = DurationMs(250);
 
 /// Largest body if the desired state sets no limit.
@@ -54,7 +54,7 @@
     pub(super) writer: JobWriter,
     pub(super) stopping: watch::Receiver<bool>,
     pub(super) metrics: AreaMetrics,
-    /// Limits the log lines on requests that are refused before their job id is parsed.
+    /// Limits the log lines for requests that are refused before their job id is parsed.
     pub(super) refusal_log_limiter: LogRateLimiter,
 }
 
--- a/ragwortwick-daemon/src/area/metrics.rs
+++ b/ragwortwick-daemon/src/area/metrics.rs
@@ -27,7 +27,8 @@
     1.0, 2.5, 5.0, 10.0, 20.0, 60.0, 300.0, 1_800.0, 7_200.0, 28_800.0,
 ];
 
-/// Buckets of the time a job spends in one part of it, from a round trip to a worker to hours.
+/// Buckets of the time a job spends queued, requeued, starting or running, from a round trip to a worker to
+/// hours.
 const PART_BUCKETS_S: [f64; 10] = [0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 20.0, 300.0, 7_200.0];
 
 /// `AreaMetrics` holds the metrics of one host; clones share them.
@@ -40,7 +41,8 @@
     pub(super) accept_seconds: HistogramVec,
     /// Time from acceptance to the end, by customer and phase; recorded by the coordinator.
     pub(super) job_end_seconds: HistogramVec,
-    /// Time in each part of a job, by customer, queue and part; recorded by the coordinator.
+    /// Time a job spent queued, requeued, starting and running, by customer, queue and part; recorded by the
+    /// coordinator.
     pub(super) job_part_seconds: HistogramVec,
     /// Ended runs, by cause; counted by the coordinator.
     pub(super) runs_ended: IntCounterVec,
--- a/ragwortwick-daemon/src/area/order_sender.rs
+++ b/ragwortwick-daemon/src/area/order_sender.rs
@@ -19,13 +19,14 @@
 /// Longest wait of an order for earlier orders to the same worker.
 ///
 /// Without a limit, orders to an unresponsive worker would be sent seconds after they were decided, when
-/// the worker may be leaving or the job cancelled. The coordinator decides again on an order not sent.
+/// the worker may be leaving or the job cancelled. The coordinator decides again about an order
+/// that was not sent.
 const MAX_ORDER_WAIT_MS: DurationMs = DurationMs(300);
 
 /// `OrderLocks` serializes the orders to each worker.
 ///
 /// Otherwise eight tasks for one worker would be ordered over eight connections at once, of which all but
-/// two are closed afterwards.
+/// two would be closed afterwards.
 #[derive(Clone, Debug, Default)]
 pub(super) struct OrderLocks(Arc<Mutex<HashMap<WorkerName, Arc<AsyncMutex<()>>>>>);
 
--- a/ragwortwick-daemon/src/area/progress_store.rs
+++ b/ragwortwick-daemon/src/area/progress_store.rs
@@ -17,7 +17,7 @@
 /// Delay before a write with an unknown outcome is sent again.
 const RETRY_DELAY_MS: DurationMs = DurationMs(100);
 
-/// `TermLost` says that this term no longer holds the coordinator key.
+/// `TermLost` is the error of a term that no longer holds the coordinator key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct TermLost;
 
@@ -33,7 +33,8 @@
 }
 
 impl ProgressStore {
-    /// `open` creates the store of the term whose key has this revision, with the last revisions of progress.
+    /// `open` creates the store of a term from its coordinator key's revision and the last revision of each
+    /// job's progress.
     pub(super) fn open(
         store: StoreClient,
         health: StoreHealth,
@@ -124,8 +125,9 @@
         records: &[ProgressRecord],
     ) -> Result<(), TermLost> {
         let find = |key: &str| items.iter().find(|item| item.key == key);
-        let is_ours = find(COORDINATOR_KEY).is_some_and(|item| item.revision == self.term_revision);
-        if !is_ours {
+        let is_key_held =
+            find(COORDINATOR_KEY).is_some_and(|item| item.revision == self.term_revision);
+        if !is_key_held {
             return Err(TermLost);
         }
         for record in records {
--- a/ragwortwick-daemon/src/area/replica.rs
+++ b/ragwortwick-daemon/src/area/replica.rs
@@ -1,4 +1,4 @@
-//! This host's replica of all jobs, from which it answers clients.
+//! This host's replica of all jobs, from which it responds to clients.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -95,17 +95,17 @@
     /// Counts the accepted jobs of a queue that have not started.
     pub(super) fn count_pending(&self, queue: &ClassName) -> u64 {
         let jobs = self.lock();
-        let waiting = jobs.views.values().filter(|view| {
+        let pending = jobs.views.values().filter(|view| {
             view.reported_phase() == JobPhase::Queued
                 && view
                     .record
                     .as_ref()
                     .is_some_and(|record| record.queue == *queue)
         });
-        waiting.count() as u64
+        pending.count() as u64
     }
 
-    /// Replaces the content by a list of the whole prefix; jobs that are not in it no longer exist. In the
+    /// Replaces the content with a list of the whole prefix; jobs that are not in it no longer exist. In the
     /// returned changes, a job's acceptance precedes its cancel.
     pub(super) fn load(&self, items: &[KeyValue], as_of: Revision) -> Vec<JobChange> {
         let mut changes = Vec::new();
--- a/ragwortwick-daemon/src/area/replica_feed.rs
+++ b/ragwortwick-daemon/src/area/replica_feed.rs
@@ -17,7 +17,8 @@
 /// Longest wait of one watch. An unresponsive connection is noticed after this time and a margin.
 const WATCH_WAIT_MS: DurationMs = DurationMs(1_500);
 
-/// Delay between watches of a host that is not the coordinator; clients see changes later by as much.
+/// Delay between watches of a host that is not the coordinator; its clients see changes up to this much
+/// later.
 ///
 /// All hosts share one budget of store calls. Four watches per second on nine hosts stay below it.
 const FOLLOWER_DELAY_MS: DurationMs = DurationMs(200);
--- a/ragwortwick-daemon/src/area/settings.rs
+++ b/ragwortwick-daemon/src/area/settings.rs
@@ -22,7 +22,8 @@
     pub metrics_listen: Option<String>,
     /// ip:port of the platform's store.
     pub store_address: String,
-    /// ip:port of the advisor, which names the workers that may run a step; without it no queue may need one.
+    /// ip:port of the advisor, which names the workers that may run a step; without it no queue may require
+    /// advice.
     #[serde(default)]
     pub advice_address: Option<String>,
     /// CPU of this host, in cores.
@@ -32,11 +33,11 @@
     pub stop_grace_s: f64,
     /// Longest lease that a worker grants to its runs.
     pub worker_lease_ms: DurationMs,
-    /// Longest time in which a worker stops a run.
+    /// Longest time that a worker takes to stop a run.
     pub worker_stop_ms: DurationMs,
     /// Longest delay between the start of a gang's first member and that of any other.
     pub gang_wait_ms: DurationMs,
-    /// Time within which a job inside its guarantee must have started.
+    /// Time within which a job inside its customer's guaranteed share must have started.
     pub reclaim_ms: DurationMs,
     /// Factor by which work takes longer on a rack other than its own.
     pub remote_penalty: f64,
--- a/ragwortwick-daemon/src/area/store_health.rs
+++ b/ragwortwick-daemon/src/area/store_health.rs
@@ -1,4 +1,4 @@
-//! Tracks from all calls of this host whether the store is available.
+//! Tracks, from the results of all calls of this host, whether the store is available.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -8,7 +8,7 @@
 
 use crate::Clock;
 
-/// Without a reply for this time the host is not ready. A watch returns or ends within it.
+/// Without a reply for this time the host is not ready. A watch returns or times out within it.
 const NOT_READY_AFTER_MS: DurationMs = DurationMs(2_600);
 
 /// Without a reply for this time, and with the newest call failed, no more calls are made for clients.
@@ -37,7 +37,7 @@
     pub(super) fn record<T>(&self, result: &Result<T, StoreError>) {
         let is_reply = match result {
             Ok(_) | Err(StoreError::LeaseNotFound) => true,
-            Err(failure) => failure.is_relist_required(),
+            Err(error) => error.is_relist_required(),
         };
         let was_failing = self.is_failing.swap(!is_reply, Ordering::Relaxed);
         if is_reply {
--- a/ragwortwick-daemon/src/area/term.rs
+++ b/ragwortwick-daemon/src/area/term.rs
@@ -164,7 +164,7 @@
         revisions,
     );
     let (writes, write_receiver) = mpsc::unbounded_channel();
-    let (end, ended) = mpsc::channel(4);
+    let (end_sender, end_reasons) = mpsc::channel(4);
     let mut tasks = JoinSet::new();
     tasks.spawn(feed.run(Some(workers_as_of)));
     tasks.spawn(forward_desired_state(
@@ -178,13 +178,13 @@
         job_ends: JobEndReporter::open(context.replica.clone(), context.metrics.clone(), reported),
         unstored: unstored.clone(),
     };
-    tasks.spawn(batch_writer.run(write_receiver, end.clone()));
-    tasks.spawn(renew(context.clone(), lease, events.clone(), end));
+    tasks.spawn(batch_writer.run(write_receiver, end_sender.clone()));
+    tasks.spawn(renew(context.clone(), lease, events.clone(), end_sender));
     let advice_address = context.advice_address.as_deref();
     let order_sender = OrderSender::open(context.clock, advice_address, term, events);
     let dispatcher =
         ActionDispatcher::open(writes, order_sender, context.metrics.clone(), unstored);
-    let reason = dispatch_actions(context, lease, action_receiver, &dispatcher, ended).await;
+    let reason = dispatch_actions(context, lease, action_receiver, &dispatcher, end_reasons).await;
     tasks.shutdown().await;
     event_loop.close();
     hand_over_unstored(context, &dispatcher.unstored);
@@ -241,7 +241,7 @@
     lease: CoordinatorLease,
     mut actions: mpsc::UnboundedReceiver<Vec<Action>>,
     dispatcher: &ActionDispatcher,
-    mut ended: mpsc::Receiver<&'static str>,
+    mut end_reasons: mpsc::Receiver<&'static str>,
 ) -> &'static str {
     let mut orders = JoinSet::new();
     let mut key = context.coordinator_key.clone();
@@ -258,7 +258,7 @@
                 }
             }
             _ = orders.join_next(), if !orders.is_empty() => {}
-            reason = ended.recv() => break reason.unwrap_or("the term's tasks have ended"),
+            reason = end_reasons.recv() => break reason.unwrap_or("the term's tasks have ended"),
             _ = key.changed() => {
                 let state = *key.borrow_and_update();
                 if let CoordinatorKeyState::Held(revision) = state && revision > lease.revision {
@@ -332,7 +332,7 @@
     context: TermContext,
     lease: CoordinatorLease,
     events: EventSender,
-    end: mpsc::Sender<&'static str>,
+    end_sender: mpsc::Sender<&'static str>,
 ) {
     loop {
         tokio::time::sleep(RENEWAL_INTERVAL_MS.into()).await;
@@ -350,7 +350,7 @@
                 }
             }
             Err(StoreError::LeaseNotFound) => {
-                let _ = end.send("the lease has expired").await;
+                let _ = end_sender.send("the lease has expired").await;
                 return;
             }
             Err(error) => log_event!(Info, "renewal_failed", cause = error),
--- a/ragwortwick-daemon/src/area/unstored_completions.rs
+++ b/ragwortwick-daemon/src/area/unstored_completions.rs
@@ -1,7 +1,7 @@
 //! Completions that a coordinator received but could not store, handed over to the next coordinator.
 //!
 //! A coordinator that loses the store receives replies from workers for some more seconds. A completion
-//! received in that time is in no record. If its worker then leaves, no other host learns of it, and the
+//! received in that time is in no record. If its worker then leaves, no other host receives it, and the
 //! task would run a second time once all leases on that worker have expired.
 
 use std::collections::BTreeMap;
--- a/ragwortwick-daemon/src/area/worker_feed.rs
+++ b/ragwortwick-daemon/src/area/worker_feed.rs
@@ -17,7 +17,8 @@
 use crate::Clock;
 
 /// Delay between two watches. Every heartbeat of a worker changes its entry, so without a delay each watch
-/// would return at once. A leaving worker is still seen well before it must not be given more work.
+/// would return at once. With this one, a leaving worker is still detected well before it must get no
+/// new runs.
 const WATCH_DELAY_MS: DurationMs = DurationMs(400);
 
 /// Longest wait of one watch. Some worker writes all the time, so a watch without changes suggests that
--- a/ragwortwick-daemon/tests/area.rs
+++ b/ragwortwick-daemon/tests/area.rs
@@ -74,7 +74,8 @@
 /// Guards against a completed task that runs a second time. Its coordinator had lost the store, received
 /// the completion and could not store it; then the worker left for good, and another host took over. The
 /// log had `run_over … cause=Done` under the first term and, 17 s later, `run_over … cause=NotThere` for
-/// the same run under the next one.
+/// the same run under the next one. The first coordinator reached the store again seconds later and still
+/// had the completion, but no host requested it.
 #[tokio::test(flavor = "multi_thread")]
 async fn verify_end_that_a_cut_off_coordinator_heard_is_not_lost_with_its_worker() {
     let fleet = open(2, 2).await;
--- a/ragwortwick-daemon/tests/area_catch_up.rs
+++ b/ragwortwick-daemon/tests/area_catch_up.rs
@@ -91,7 +91,7 @@
 }
 
 /// Guards against a host that reports an ended job as queued forever. Its path to the store was cut for a
-/// while and came back slow. All jobs changed meanwhile come in one reply, whose transfer exceeded the
+/// while and came back slow. One reply contains all jobs changed meanwhile, and its transfer exceeded the
 /// watch's timeout: the host aborted it and requested the same changes and more again. On the host with
 /// the stale queues the link was full for six seconds, 6.9 MB.
 #[tokio::test(flavor = "multi_thread")]
@@ -156,9 +156,9 @@
 }
 
 /// Guards against a permanent refusal for a queue that was just added, after which the client asks no other
-/// host. A host that has lost the store can't know that a queue or key doesn't exist: where a path was cut
-/// from 32 to 45 s and the state came into force at 51.59, its state was 15 s old. It must send a retry
-/// time instead, and still report the jobs that it knows.
+/// host. A host that has lost the store can't know that a queue or key doesn't exist: in one run, a path was
+/// cut from 32 to 45 s, the new state came into force at 51.59 s, and the host's state was 15 s old. It must
+/// send a retry time instead, and still report the jobs that it knows.
 #[tokio::test(flavor = "multi_thread")]
 async fn verify_host_without_the_newest_desired_state_refuses_nothing_for_good() {
     let fleet = open(1, 2).await;
