--- a/ragwortwick-policy/src/zone/bindings.rs
+++ b/ragwortwick-policy/src/zone/bindings.rs
@@ -82,11 +82,11 @@
             }
             let borrowed_overlap = binding.overlap_count(query.borrowed);
             for cell in binding.free_cells(query) {
-                let touched = cell
+                let overlapping = cell
                     .parts
                     .iter()
                     .filter(|part| part.mask & query.borrowed[part.worker] != 0);
-                let conflict: u32 = touched.map(|part| query.stop_cost[part.worker]).sum();
+                let conflict: u32 = overlapping.map(|part| query.stop_cost[part.worker]).sum();
                 candidates.push(CellCandidate {
                     // A partly used cell is filled before a whole one is split.
                     rank: (
@@ -121,8 +121,8 @@
             .iter_mut()
             .filter(|binding| binding.customer == *customer)
         {
-            for (slot, own) in binding.used.iter_mut().zip(&binding.parts) {
-                *slot |= overlap_mask(parts, *own);
+            for (used, own) in binding.used.iter_mut().zip(&binding.parts) {
+                *used |= overlap_mask(parts, *own);
             }
         }
     }
@@ -130,8 +130,8 @@
     /// `mark_unused` marks accelerators as unused in the bound cells that contain them.
     pub(super) fn mark_unused(&mut self, parts: &[Part]) {
         for binding in &mut self.list {
-            for (slot, own) in binding.used.iter_mut().zip(&binding.parts) {
-                *slot &= !overlap_mask(parts, *own);
+            for (used, own) in binding.used.iter_mut().zip(&binding.parts) {
+                *used &= !overlap_mask(parts, *own);
             }
         }
     }
@@ -152,20 +152,20 @@
             }
             self.steps += 1;
             let bound_masks = self.mask_by_worker(workers);
-            let mut spare = idle.clone();
-            for (free, bound_mask) in spare.free.iter_mut().zip(&bound_masks) {
+            let mut unbound_idle = idle.clone();
+            for (free, bound_mask) in unbound_idle.free.iter_mut().zip(&bound_masks) {
                 *free &= !bound_mask;
             }
-            if let Some(cell) = spare.take_cell(self.list[index].size) {
+            if let Some(cell) = unbound_idle.take_cell(self.list[index].size) {
                 self.list[index].parts = cell.parts;
                 self.list[index].used = vec![0; self.list[index].parts.len()];
                 continue;
             }
-            let wanted = self.list[index].size;
+            let needed_size = self.list[index].size;
             let other = (0..self.list.len()).find(|other| {
                 let binding = &self.list[*other];
                 binding.customer != *customer
-                    && binding.size == wanted
+                    && binding.size == needed_size
                     && binding.is_unused()
                     && !binding.is_unbound()
                     && self.is_idle(*other, idle)
@@ -222,7 +222,7 @@
 
 impl CellBinding {
     fn free_cells(&self, query: &CellQuery<'_>) -> Vec<Cell> {
-        let open = self.parts.iter().zip(&self.used).map(|(part, used)| {
+        let free_parts = self.parts.iter().zip(&self.used).map(|(part, used)| {
             let is_excluded = query.excluded.contains(&part.worker);
             let unavailable = query.unavailable[part.worker] | used;
             Part {
@@ -235,7 +235,7 @@
             }
         });
         let step = query.size.min(BLOCK_SIZE);
-        let blocks: Vec<Part> = open
+        let blocks: Vec<Part> = free_parts
             .flat_map(|part| {
                 aligned_blocks(part.mask, step).map(move |mask| Part {
                     worker: part.worker,
@@ -280,17 +280,17 @@
             used_by_all[part.worker] |= part.mask;
         }
     }
-    let mut wanted: Vec<(&CustomerName, u32)> = Vec::new();
+    let mut required_cells: Vec<(&CustomerName, u32)> = Vec::new();
     for row in rows {
         let cells = row.shape.cells.min(MAX_CELLS);
-        wanted.extend((0..cells).map(|_| (&row.customer, row.shape.cell_accelerators)));
+        required_cells.extend((0..cells).map(|_| (&row.customer, row.shape.cell_accelerators)));
     }
-    wanted.sort_by_key(|(_, size)| std::cmp::Reverse(*size));
+    required_cells.sort_by_key(|(_, size)| std::cmp::Reverse(*size));
 
     let mut pool = usable.clone();
     let mut bindings = CellBindings::default();
     let mut unplaced = Vec::new();
-    for (customer, size) in wanted {
+    for (customer, size) in required_cells {
         let own = used
             .get(customer)
             .cloned()
--- a/ragwortwick-policy/src/zone/claims.rs
+++ b/ragwortwick-policy/src/zone/claims.rs
@@ -68,13 +68,13 @@
         let cells = bindings.find_cells(&query)?;
         let taken = merge_parts(&cells);
         for gang_id in demotable {
-            self.demote_if_touched(&gang_id, &taken);
+            self.demote_if_overlapping(&gang_id, &taken);
         }
         debug_assert!(now >= self.owned_since);
         Some(cells)
     }
 
-    pub(super) fn demote_if_touched(&mut self, gang_id: &GangId, taken: &[Part]) {
+    pub(super) fn demote_if_overlapping(&mut self, gang_id: &GangId, taken: &[Part]) {
         let Some(parts) = self.gangs.get(gang_id).map(Gang::parts) else {
             return;
         };
--- a/ragwortwick-policy/src/zone/messages.rs
+++ b/ragwortwick-policy/src/zone/messages.rs
@@ -133,7 +133,7 @@
         worker: WorkerName,
         /// Its new state.
         state: &'static str,
-        /// The failures or the success that led to the state.
+        /// Why the state changed.
         reason: String,
     },
     /// A worker reported a higher epoch: another host owns the zone.
--- a/ragwortwick-policy/src/zone/places.rs
+++ b/ragwortwick-policy/src/zone/places.rs
@@ -63,8 +63,8 @@
         let whole_before = idle.cell_count(largest);
         let found = idle.take_shape(request.cells, request.size);
         self.steps += idle.steps - steps_before;
-        let breaks_large = request.size < largest && idle.cell_count(largest) < whole_before;
-        if breaks_large && request.can_wait && !request.is_urgent {
+        let splits_large_cell = request.size < largest && idle.cell_count(largest) < whole_before;
+        if splits_large_cell && request.can_wait && !request.is_urgent {
             return None;
         }
         found
--- a/ragwortwick-policy/src/zone/pool.rs
+++ b/ragwortwick-policy/src/zone/pool.rs
@@ -122,7 +122,8 @@
                 let enclosing_size = enclosing_block_size(*free, mask, size);
                 let opens_block = enclosing_size >= BLOCK_SIZE;
                 scores.push(BlockScore {
-                    breaks_large: opens_block && whole[rack].is_multiple_of(self.large_cell_blocks),
+                    splits_large_cell: opens_block
+                        && whole[rack].is_multiple_of(self.large_cell_blocks),
                     is_avoided: mask & self.avoid[worker] != 0,
                     enclosing_size,
                     // A split block costs its rack one whole block: split where the fewest are left.
@@ -160,8 +161,8 @@
                 let is_avoided = rack.blocks[needed as usize - 1].0;
                 let blocks = u32::try_from(rack.blocks.len()).unwrap_or(u32::MAX);
                 let unit = self.large_cell_blocks;
-                let breaks_large = blocks / unit - (blocks - needed) / unit > needed / unit;
-                (breaks_large, is_avoided, blocks)
+                let splits_large_cell = blocks / unit - (blocks - needed) / unit > needed / unit;
+                (splits_large_cell, is_avoided, blocks)
             })?;
         let chosen = best.blocks.iter().take(needed as usize);
         Some(
@@ -187,7 +188,7 @@
 /// `BlockScore` orders free blocks by how little taking them splits larger cells.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct BlockScore {
-    breaks_large: bool,
+    splits_large_cell: bool,
     is_avoided: bool,
     enclosing_size: u32,
     rack_blocks: u32,
--- a/ragwortwick-policy/src/zone/recovery.rs
+++ b/ragwortwick-policy/src/zone/recovery.rs
@@ -95,15 +95,15 @@
         if !self.jobs.contains_key(job_id) {
             return;
         }
-        let mut found: Vec<(u32, GangId)> = self
+        let mut recovered: Vec<(u32, GangId)> = self
             .gangs
             .values()
             .filter(|gang| gang.job_id == *job_id && gang.is_recovered)
             .map(|gang| (gang.spec.attempt, gang.spec.gang_id.clone()))
             .collect();
-        found.sort();
-        let latest = found.pop();
-        for (_, gang_id) in found {
+        recovered.sort();
+        let latest = recovered.pop();
+        for (_, gang_id) in recovered {
             let cause = EndCause::MemberLost("a later attempt runs".to_owned());
             self.abort(now, &gang_id, cause);
         }
@@ -165,10 +165,10 @@
         if job.has_recorded_start() {
             return true;
         }
-        let is_free = !job.was_found_in_recovery
+        let is_exempt = !job.was_found_in_recovery
             || !job.record.spec.repeatable
             || self.weights.is_urgent(job);
-        !is_free && self.may_run_undetected(now)
+        !is_exempt && self.may_run_undetected(now)
     }
 
     fn may_run_undetected(&self, now: TimeMs) -> bool {
--- a/ragwortwick-policy/src/zone/start.rs
+++ b/ragwortwick-policy/src/zone/start.rs
@@ -110,7 +110,7 @@
     }
 
     /// Whether a start in these cells would split an unused large guaranteed cell.
-    fn opens_large_cell(&self, cells: &[Cell]) -> bool {
+    fn splits_large_cell(&self, cells: &[Cell]) -> bool {
         let parts = merge_parts(cells);
         let largest = self.largest_guaranteed();
         self.bindings.list.iter().any(|binding| {
@@ -172,15 +172,15 @@
             return false;
         }
         let guaranteed = self.find_guaranteed(request, pass);
-        let opens_large_cell = guaranteed
+        let splits_large_cell = guaranteed
             .as_ref()
-            .is_none_or(|cells| self.opens_large_cell(cells));
-        if opens_large_cell && let Some(cells) = self.find_fragment(request, pass) {
+            .is_none_or(|cells| self.splits_large_cell(cells));
+        if splits_large_cell && let Some(cells) = self.find_fragment(request, pass) {
             self.start_gang(now, request, &cells, true);
             return true;
         }
         if guaranteed.is_some()
-            && opens_large_cell
+            && splits_large_cell
             && request.is_routine_small(self.largest_guaranteed())
             && let Some(cells) = self.find_idle(request, pass)
         {
--- a/ragwortwick-policy/src/zone/workers.rs
+++ b/ragwortwick-policy/src/zone/workers.rs
@@ -71,18 +71,18 @@
         let (bindings, fits) = bind_cells(rows, &usable, &guaranteed);
         self.bindings = bindings;
         self.bindings.steps += steps;
-        let holds_all = fits.iter().all(|is_guaranteed| *is_guaranteed);
+        let is_complete = fits.iter().all(|is_guaranteed| *is_guaranteed);
         for (gang_id, is_guaranteed) in gang_ids.iter().zip(fits) {
             if !is_guaranteed {
                 self.set_borrowed(gang_id, true);
-                self.drop_claim(now, gang_id);
+                self.abort_claim(now, gang_id);
             }
         }
-        holds_all
+        is_complete
     }
 
     /// Aborts a claim of work that is no longer guaranteed: only a guarantee may preempt borrowed work.
-    fn drop_claim(&mut self, now: TimeMs, gang_id: &GangId) {
+    fn abort_claim(&mut self, now: TimeMs, gang_id: &GangId) {
         let state = self.gangs.get(gang_id).map(|gang| gang.state);
         if state == Some(GangState::Claiming) {
             let cause = EndCause::Refused("its guarantee moved".to_owned());
