--- a/ragwortwick-daemon/src/area/coordinator_handler.rs
+++ b/ragwortwick-daemon/src/area/coordinator_handler.rs
@@ -8,8 +8,8 @@
 
 use crate::{Clock, EventHandler, EventLoopSender, SendError, unix_now};
 
-/// Delay before an event that the full ring rejected is offered again.
-const RING_FULL_DELAY: Duration = Duration::from_millis(2);
+/// Delay before an event that the full queue rejected is sent again.
+const QUEUE_FULL_DELAY: Duration = Duration::from_millis(2);
 
 /// `EventSender` sends events from the I/O runtime to the coordinator, without blocking a runtime thread.
 #[derive(Clone, Debug)]
@@ -25,7 +25,7 @@
                 Err(SendError(_)) if self.0.is_closed() => return false,
                 Err(SendError(rejected)) => event = rejected,
             }
-            tokio::time::sleep(RING_FULL_DELAY).await;
+            tokio::time::sleep(QUEUE_FULL_DELAY).await;
         }
     }
 }
@@ -87,7 +87,7 @@
         }
     }
 
-    fn timestamps(&mut self, now: TimeMs) -> Now {
+    fn record_call_start(&mut self, now: TimeMs) -> Now {
         self.last_call = Now {
             steady: now,
             unix: unix_now(),
@@ -101,7 +101,7 @@
 
     fn on_event(&mut self, now: TimeMs, event: Event) {
         let started = Instant::now();
-        let now = self.timestamps(now);
+        let now = self.record_call_start(now);
         let actions = self.coordinator.on_event(now, event);
         self.send_actions(actions);
         self.coordinator.record_call_end(self.clock.now());
@@ -110,7 +110,7 @@
 
     fn on_wakeup(&mut self, now: TimeMs) {
         let started = Instant::now();
-        let now = self.timestamps(now);
+        let now = self.record_call_start(now);
         let actions = self.coordinator.on_wakeup(now);
         self.send_actions(actions);
         self.coordinator.record_call_end(self.clock.now());
