--- a/ragwortwick-area/src/messages.rs
+++ b/ragwortwick-area/src/messages.rs
@@ -74,7 +74,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndedTask {
     /// Position in the worker's list of ends.
-    pub number: u64,
+    pub sequence: u64,
     /// The task.
     pub task: TaskId,
     /// Number of the run.
--- a/ragwortwick-area/src/run_ends.rs
+++ b/ragwortwick-area/src/run_ends.rs
@@ -221,11 +221,11 @@
         let new_ends: Vec<_> = look
             .ended
             .iter()
-            .filter(|end| end.number > worker.received_end)
+            .filter(|end| end.sequence > worker.received_end)
             .collect();
         let has_ends = !new_ends.is_empty();
         for end in &new_ends {
-            highest = highest.max(end.number);
+            highest = highest.max(end.sequence);
         }
         worker.received_end = highest;
         if has_ends {
--- a/ragwortwick-daemon/examples/area_takeover.rs
+++ b/ragwortwick-daemon/examples/area_takeover.rs
@@ -36,7 +36,7 @@
         .join("ragwortwickd");
     let binary = binary.to_str().ok_or("a path that is no text")?;
     for loss in [Loss::Kill, Loss::Freeze, Loss::Cut, Loss::Terminate] {
-        let mut fleet = AreaFleet::open(binary, 3, 8).await?;
+        let mut fleet = AreaFleet::spawn(binary, 3, 8).await?;
         let mut owner_ms = Histogram::<u64>::new(3)?;
         let mut start_ms = Histogram::<u64>::new(3)?;
         for _ in 0..ROUNDS {
--- a/ragwortwick-emulator/src/worker.rs
+++ b/ragwortwick-emulator/src/worker.rs
@@ -239,7 +239,7 @@
 
     /// Whether an end had been listed when the lease ran out.
     pub(crate) fn is_lapsed(&self, end: &EndedTask) -> bool {
-        end.number <= self.lapsed_to
+        end.sequence <= self.lapsed_to
     }
 
     /// The lease has run out and kills everything.
@@ -299,7 +299,7 @@
             self.saving.last_saved_ms(run.done_ms(now))
         };
         self.ended.push(EndedTask {
-            number: self.next_end,
+            sequence: self.next_end,
             task: task.clone(),
             run: run.run,
             kind,
@@ -340,7 +340,7 @@
         }
         let (forgotten, kept) = std::mem::take(&mut self.ended)
             .into_iter()
-            .partition(|end| end.number <= noted);
+            .partition(|end| end.sequence <= noted);
         self.ended = kept;
         Ok(forgotten)
     }
--- a/ragwortwick-soak/src/play.rs
+++ b/ragwortwick-soak/src/play.rs
@@ -46,7 +46,7 @@
 
 /// `play` plays one seed.
 pub async fn play(plan: &Plan) -> Found {
-    let mut fleet = match AreaFleet::open(&plan.binary, plan.hosts, plan.workers).await {
+    let mut fleet = match AreaFleet::spawn(&plan.binary, plan.hosts, plan.workers).await {
         Ok(fleet) => fleet,
         Err(error) => {
             return Found {
@@ -116,7 +116,7 @@
     let refused: BTreeSet<&str> = told.refused.iter().map(String::as_str).collect();
     let mut seen = BTreeSet::new();
     for start in &starts {
-        if start.is_double {
+        if start.is_duplicate {
             found
                 .findings
                 .push(format!("{} ran twice at a time", start.task));
--- a/ragwortwick-soak/src/trouble.rs
+++ b/ragwortwick-soak/src/trouble.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use ragwortwick_standin::{AreaFleet, RelayMode, StoreTrouble, desired};
+use ragwortwick_standin::{AreaFleet, RelayMode, StoreFault, desired};
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 
@@ -20,7 +20,7 @@
     /// A host is stopped as planned, and an empty one takes its place.
     Stop(usize),
     /// The store misbehaves.
-    Store(StoreTrouble),
+    Store(StoreFault),
     /// The store drops its history.
     Forget,
     /// A worker takes calls without an answer, or answers again.
@@ -64,8 +64,8 @@
             3 => Trouble::Wake(host),
             4 => Trouble::HangUp(host),
             5 => Trouble::Stop(host),
-            6 => Trouble::Store(StoreTrouble::Silent),
-            7 => Trouble::Store([StoreTrouble::Busy, StoreTrouble::LosesAnswers][host % 2]),
+            6 => Trouble::Store(StoreFault::Unresponsive),
+            7 => Trouble::Store([StoreFault::Unavailable, StoreFault::DropsReplies][host % 2]),
             8 => Trouble::Forget,
             9 => Trouble::Worker(worker, rng.random_bool(0.6)),
             10 | 11 => Trouble::StorePath(host, path),
@@ -78,7 +78,7 @@
         });
         // An outage that never ended would leave nothing to see.
         let undo = match trouble {
-            Trouble::Store(_) => Some(Trouble::Store(StoreTrouble::None)),
+            Trouble::Store(_) => Some(Trouble::Store(StoreFault::None)),
             Trouble::Freeze(host) => Some(Trouble::Wake(host)),
             Trouble::StorePath(host, _) => Some(Trouble::StorePath(host, RelayMode::Pass)),
             Trouble::WorkerPath(worker, _) => Some(Trouble::WorkerPath(worker, RelayMode::Pass)),
@@ -107,14 +107,14 @@
         Trouble::Freeze(host) => drop(fleet.hosts[host].freeze()),
         Trouble::Wake(host) => drop(fleet.hosts[host].wake()),
         Trouble::HangUp(host) => drop(fleet.hosts[host].hang_up()),
-        Trouble::Store(trouble) => fleet.store.set_trouble(trouble),
-        Trouble::Forget => fleet.store.forget_history(),
+        Trouble::Store(trouble) => fleet.store.set_fault(trouble),
+        Trouble::Forget => fleet.store.compact(),
         Trouble::StorePath(host, mode) => fleet.set_store_path(host, mode),
         Trouble::WorkerPath(worker, mode) => fleet.workers.set_path(worker, mode),
         Trouble::Change(version) => {
             fleet.store.put("op/config", desired(version).to_string());
         }
-        Trouble::Worker(worker, is_silent) => fleet.workers.set_silent(worker, is_silent),
+        Trouble::Worker(worker, is_silent) => fleet.workers.set_unresponsive(worker, is_silent),
         Trouble::Kill(host) => {
             drop(fleet.hosts[host].kill());
             replace(fleet, host).await;
--- a/ragwortwick-standin/src/area/fleet.rs
+++ b/ragwortwick-standin/src/area/fleet.rs
@@ -42,12 +42,12 @@
 }
 
 impl AreaFleet {
-    /// `open` starts an area with a desired state in force.
+    /// `spawn` starts an area with a desired state in force.
     ///
     /// # Errors
     ///
     /// Fails if a port or process can't be had.
-    pub async fn open(binary: &str, hosts: usize, workers: usize) -> Result<Self, FleetError> {
+    pub async fn spawn(binary: &str, hosts: usize, workers: usize) -> Result<Self, FleetError> {
         let store = Arc::new(AreaStore::bind("127.0.0.1:0").await?);
         let workers = Arc::new(AreaWorkers::spawn(workers, &store).await?);
         store.put("op/config", desired(1).to_string());
@@ -55,7 +55,7 @@
         let beats = tokio::spawn(async move {
             loop {
                 tokio::time::sleep(BEAT_MS.into()).await;
-                beating.beat(&beaten);
+                beating.write_entries(&beaten);
             }
         });
         let mut fleet = Self {
@@ -76,21 +76,21 @@
         Ok(fleet)
     }
 
-    /// `open_in_force` starts an area and waits until a host coordinates and the first takes calls.
+    /// `spawn_ready` starts an area and waits until a host coordinates and the first takes calls.
     ///
     /// # Errors
     ///
-    /// As `open`.
+    /// As `spawn`.
     ///
     /// # Panics
     ///
     /// Panics if that does not come about within the outer limit.
-    pub async fn open_in_force(
+    pub async fn spawn_ready(
         binary: &str,
         hosts: usize,
         workers: usize,
     ) -> Result<Self, FleetError> {
-        let fleet = Self::open(binary, hosts, workers).await?;
+        let fleet = Self::spawn(binary, hosts, workers).await?;
         wait_until("a host coordinates", async || fleet.coordinator().is_some()).await;
         wait_until("the desired state is in force", async || {
             let reply = fleet.call(Method::GET, 0, "/work/", None).await;
--- a/ragwortwick-standin/src/area/mod.rs
+++ b/ragwortwick-standin/src/area/mod.rs
@@ -8,5 +8,5 @@
 mod workers;
 
 pub use fleet::{AreaFleet, area_job, desired};
-pub use store::{AreaStore, KvItem, StoreTrouble};
-pub use workers::{AreaWorkers, StartSeen};
+pub use store::{AreaStore, KvItem, StoreFault};
+pub use workers::{AreaWorkers, StartedRun};
--- a/ragwortwick-standin/src/area/store_routes.rs
+++ b/ragwortwick-standin/src/area/store_routes.rs
@@ -19,7 +19,7 @@
 use serde_json::{Value, json};
 use tokio::time::timeout;
 
-use super::store::{Kv, KvItem, KvShared, StoreTrouble};
+use super::store::{Kv, KvItem, KvShared, StoreFault};
 use crate::now;
 
 /// Entries that a transaction may have.
@@ -52,15 +52,15 @@
     let mut changed = shared.changed.subscribe();
     loop {
         match shared.with(|kv| kv.trouble) {
-            StoreTrouble::Silent => {
+            StoreFault::Unresponsive => {
                 if changed.changed().await.is_err() {
                     return Err(answer(state, StatusCode::SERVICE_UNAVAILABLE, &json!({})));
                 }
             }
-            StoreTrouble::Busy => {
+            StoreFault::Unavailable => {
                 return Err(answer(state, StatusCode::SERVICE_UNAVAILABLE, &json!({})));
             }
-            StoreTrouble::None | StoreTrouble::LosesAnswers => return Ok(shared),
+            StoreFault::None | StoreFault::DropsReplies => return Ok(shared),
         }
     }
 }
@@ -189,7 +189,7 @@
     let (status, body, is_lost) = shared.with(|kv| {
         let (status, body) = change(kv, &body);
         kv.changes += 1;
-        let is_lost = kv.trouble == StoreTrouble::LosesAnswers && kv.changes % 2 == 0;
+        let is_lost = kv.trouble == StoreFault::DropsReplies && kv.changes % 2 == 0;
         (status, body, is_lost)
     });
     if is_lost {
--- a/ragwortwick-standin/src/area/worker_routes.rs
+++ b/ragwortwick-standin/src/area/worker_routes.rs
@@ -14,7 +14,7 @@
 use serde_json::{Value, json};
 use tokio::time::timeout;
 
-use super::workers::{LEASE_MS, OneWorker, Payload, PoolState, RunningTask, StartSeen, step_of};
+use super::workers::{LEASE_MS, OneWorker, Payload, PoolState, RunningTask, StartedRun, step_of};
 use crate::now;
 
 /// Largest body.
@@ -100,7 +100,7 @@
     }
     let task = body["Task"].as_str().unwrap_or_default().to_owned();
     let run = body["Run"].as_u64().unwrap_or(0);
-    let is_double = pool
+    let is_duplicate = pool
         .workers
         .iter()
         .any(|(other, worker)| other != name && worker.running.contains_key(&task));
@@ -135,11 +135,11 @@
         pace_percent: 100,
     };
     worker.running.insert(task.clone(), held);
-    pool.starts.push(StartSeen {
+    pool.starts.push(StartedRun {
         worker: name.to_owned(),
         task,
         run,
-        is_double,
+        is_duplicate,
     });
     None
 }
--- a/ragwortwick-standin/src/area/workers.rs
+++ b/ragwortwick-standin/src/area/workers.rs
@@ -55,9 +55,9 @@
     }
 }
 
-/// `StartSeen` is a run that a worker began.
+/// `StartedRun` is a run that a worker began.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct StartSeen {
+pub struct StartedRun {
     /// The worker.
     pub worker: String,
     /// The task's name.
@@ -65,7 +65,7 @@
     /// The run.
     pub run: u64,
     /// Whether another worker was running the same task.
-    pub is_double: bool,
+    pub is_duplicate: bool,
 }
 
 #[derive(Clone, Debug)]
@@ -147,7 +147,7 @@
 #[derive(Debug, Default)]
 pub(super) struct PoolState {
     pub(super) workers: BTreeMap<String, WorkerState>,
-    pub(super) starts: Vec<StartSeen>,
+    pub(super) starts: Vec<StartedRun>,
     /// The advisor's tickets by worker and step, and until when they hold.
     pub(super) tickets: BTreeMap<(String, String), (String, TimeMs)>,
     /// Starts that were refused for want of a ticket.
@@ -297,12 +297,12 @@
             advisor,
             checks,
         };
-        workers.beat(store);
+        workers.write_entries(store);
         Ok(workers)
     }
 
-    /// `beat` writes every worker's entry, as their heartbeats do.
-    pub fn beat(&self, store: &AreaStore) {
+    /// `write_entries` writes every worker's entry, as their heartbeats do.
+    pub fn write_entries(&self, store: &AreaStore) {
         let workers = self.servers.iter().zip(&self.paths);
         for (number, ((name, _), path)) in workers.enumerate() {
             let life = self.shared.with(|pool| {
@@ -332,7 +332,7 @@
 
     /// `starts` lists every run that was begun.
     #[must_use]
-    pub fn starts(&self) -> Vec<StartSeen> {
+    pub fn starts(&self) -> Vec<StartedRun> {
         self.shared.with(|pool| pool.starts.clone())
     }
 
@@ -342,15 +342,15 @@
         self.advisor.address().to_string()
     }
 
-    /// `without_ticket` counts the starts that were refused for want of a ticket that holds.
+    /// `starts_without_ticket` counts the starts that were refused for want of a ticket that holds.
     #[must_use]
-    pub fn without_ticket(&self) -> usize {
+    pub fn starts_without_ticket(&self) -> usize {
         self.shared.with(|pool| pool.without_ticket)
     }
 
-    /// `tails_ms` lists the tail latencies of all tasks that serve users.
+    /// `tail_latencies_ms` lists the tail latencies of all tasks that serve users.
     #[must_use]
-    pub fn tails_ms(&self) -> Vec<u64> {
+    pub fn tail_latencies_ms(&self) -> Vec<u64> {
         self.shared.with(|pool| {
             let tails = pool.workers.values().flat_map(|worker| {
                 let serving = worker
@@ -368,8 +368,8 @@
         self.paths[number].set_mode(mode);
     }
 
-    /// `set_silent` makes a worker take calls without an answer.
-    pub fn set_silent(&self, number: usize, is_silent: bool) {
+    /// `set_unresponsive` makes a worker take calls without an answer.
+    pub fn set_unresponsive(&self, number: usize, is_silent: bool) {
         let name = format!("w-{number}");
         self.shared.with(|pool| {
             if let Some(worker) = pool.workers.get_mut(&name) {
@@ -379,7 +379,7 @@
     }
 
     /// `crash` ends the process of a worker, with all that it ran and listed; its machine refuses
-    /// connections until `come_back`. Its entry in the store stays.
+    /// connections until `restart`. Its entry in the store stays.
     pub fn crash(&self, name: &str) {
         self.shared.with(|pool| {
             if let Some(worker) = pool.workers.get_mut(name) {
@@ -393,8 +393,8 @@
         self.set_path_of(name, RelayMode::Cut);
     }
 
-    /// `come_back` begins another life of a worker that has crashed.
-    pub fn come_back(&self, name: &str, store: &AreaStore) {
+    /// `restart` begins another life of a worker that has crashed.
+    pub fn restart(&self, name: &str, store: &AreaStore) {
         let earlier = self.shared.with(|pool| {
             let worker = pool.workers.get_mut(name)?;
             let earlier = worker.life_name(name);
--- a/ragwortwick-standin/src/lib.rs
+++ b/ragwortwick-standin/src/lib.rs
@@ -14,7 +14,7 @@
 mod workers;
 
 pub use area::{
-    AreaFleet, AreaStore, AreaWorkers, KvItem, StartSeen, StoreTrouble, area_job, desired,
+    AreaFleet, AreaStore, AreaWorkers, KvItem, StartedRun, StoreFault, area_job, desired,
 };
 pub use clock::now;
 pub use faults::{Faults, Gate};
