--- a/ragwortwick-daemon/src/area/election.rs
+++ b/ragwortwick-daemon/src/area/election.rs
@@ -14,14 +14,14 @@
 /// Longest random delay before a try, so that the hosts don't all try at once.
 const MAX_JITTER_MS: u64 = 60;
 
-/// Delay of a host's try for each unit of its CPU deficit, `FULL_SPEED_CPU_SHARE / cpu_share - 1`.
+/// Delay of a host's try for each unit of its CPU deficit, `NO_DELAY_CPU_SHARE / cpu_share - 1`.
 ///
 /// Coordinating 350 workers takes a tenth of a core or more. A host with no more than that would be the
 /// bottleneck of the whole area, which costs more than a fraction of a second without a coordinator.
 const DELAY_PER_CPU_DEFICIT_MS: f64 = 150.0;
 
 /// Share of a core from which a host tries without this delay.
-const FULL_SPEED_CPU_SHARE: f64 = 0.5;
+const NO_DELAY_CPU_SHARE: f64 = 0.5;
 
 /// Longest delay of a host with a small share of a core.
 const MAX_CPU_DELAY_MS: f64 = 500.0;
@@ -76,7 +76,7 @@
     reason = "the span is between zero and half a second"
 )]
 fn cpu_delay_ms(cpu_share: f64) -> u64 {
-    let deficit = (FULL_SPEED_CPU_SHARE / cpu_share.max(0.01) - 1.0).max(0.0);
+    let deficit = (NO_DELAY_CPU_SHARE / cpu_share.max(0.01) - 1.0).max(0.0);
     (deficit * DELAY_PER_CPU_DEFICIT_MS).min(MAX_CPU_DELAY_MS) as u64
 }
 
--- a/ragwortwick-daemon/src/area/job_api.rs
+++ b/ragwortwick-daemon/src/area/job_api.rs
@@ -43,7 +43,6 @@
 /// Cause of a temporary refusal while the host can't confirm that its desired state is the newest.
 const MAYBE_STALE: &str = "the desired state on this host may be old";
 
-/// Digits of a job's id.
 const JOB_ID_DIGITS: usize = 16;
 
 /// `JobApi` is the state of the job API's handlers; clones share it.
@@ -78,10 +77,10 @@
 
 async fn handle(state: &mut State) -> SimpleHandlerResult {
     let api = Arc::clone(&SharedJobApi::borrow_from(state).0);
-    let mut response = answer(&api, state).await;
+    let mut response = dispatch(&api, state).await;
     if *api.stopping.borrow() || api.writer.health.is_unavailable() {
-        // A client that kept its connection would send its next request on a closing one, or ask a host
-        // without new information, while other hosts could report its job's end.
+        // A client that kept its connection would send its next request while the connection closes, or
+        // poll a host that receives no updates, while other hosts could report its job's end.
         let value = HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, value);
     }
@@ -99,7 +98,7 @@
     max_body_bytes: usize,
 }
 
-async fn answer(api: &JobApi, state: &mut State) -> Response<Body> {
+async fn dispatch(api: &JobApi, state: &mut State) -> Response<Body> {
     let method = Method::borrow_from(state).clone();
     let request = match resolve(api, state) {
         Ok(request) => request,
--- a/ragwortwick-daemon/src/area/job_writer.rs
+++ b/ragwortwick-daemon/src/area/job_writer.rs
@@ -23,7 +23,6 @@
     NotStored(String),
     /// The write may be stored, now or later.
     Unknown(String),
-    /// There is no such job.
     NoSuchJob,
 }
 
--- a/ragwortwick-daemon/src/area/keys.rs
+++ b/ragwortwick-daemon/src/area/keys.rs
@@ -29,7 +29,6 @@
 }
 
 impl JobKeyKind {
-    /// All kinds.
     pub(super) const ALL: [Self; 4] = [
         Self::Record,
         Self::Phase,
--- a/ragwortwick-daemon/src/area/order_sender.rs
+++ b/ragwortwick-daemon/src/area/order_sender.rs
@@ -218,12 +218,12 @@
         workers: Vec<WorkerName>,
         answer_ms: DurationMs,
     ) -> Event {
-        let asked_at = self.clock.now();
+        let requested_at = self.clock.now();
         let reply = self
             .advisor
             .request_advice(&step, &workers, answer_ms)
             .await;
-        let took_ms = self.clock.now().since(asked_at);
+        let took_ms = self.clock.now().since(requested_at);
         let reply = match reply {
             Ok(reply) => {
                 let allowed = match &reply {
--- a/ragwortwick-daemon/src/area/replica.rs
+++ b/ragwortwick-daemon/src/area/replica.rs
@@ -35,11 +35,9 @@
 /// `JobChange` is a change of a job that the coordinator has to process.
 #[derive(Clone, Debug)]
 pub(super) enum JobChange {
-    /// A job was accepted.
     Accepted(Arc<JobRecord>),
     /// A coordinator of an earlier term handed over completions that it could not store.
     CompletionsHandedOver(JobId, Vec<HandedOverCompletion>),
-    /// A job was cancelled.
     Cancelled(JobId),
 }
 
--- a/ragwortwick-daemon/src/area/replica_feed.rs
+++ b/ragwortwick-daemon/src/area/replica_feed.rs
@@ -39,9 +39,9 @@
     Held(Revision),
 }
 
-/// `Subscribe` requests all jobs in their current state, and every change from then on.
+/// `SubscribeRequest` requests all jobs in their current state, and every change from then on.
 #[derive(Debug)]
-pub(super) struct Subscribe {
+pub(super) struct SubscribeRequest {
     pub(super) events: EventSender,
     pub(super) reply: oneshot::Sender<Vec<(RecoveredJob, Revision)>>,
 }
@@ -57,43 +57,42 @@
     pub(super) metrics: AreaMetrics,
 }
 
-/// `Step` is the result of one iteration of the feed.
-enum Step {
+/// `FeedInput` is the input that the feed processes next.
+enum FeedInput {
     /// A term subscribes, or `None` once no term can subscribe any more.
-    Subscribe(Option<Subscribe>),
+    Subscribe(Option<SubscribeRequest>),
     /// The whole prefix was read.
     Loaded(Revision, Vec<JobChange>),
     /// A watch returned a reply.
     Changed(WatchReply),
-    /// A call failed.
     Failed(StoreError),
 }
 
 impl ReplicaFeed {
     /// Runs until no term can subscribe any more.
-    pub(super) async fn run(self, mut requests: mpsc::Receiver<Subscribe>) {
+    pub(super) async fn run(self, mut requests: mpsc::Receiver<SubscribeRequest>) {
         let mut monitor = FeedMonitor::open("jobs", self.clock, &self.metrics);
         let mut subscriber: Option<EventSender> = None;
         let mut position: Option<Revision> = None;
         let mut delay_ms = DurationMs(0);
         loop {
             // A subscription of a new term interrupts a watch or the delay between two.
-            let step = tokio::select! {
-                request = requests.recv() => Step::Subscribe(request),
+            let input = tokio::select! {
+                request = requests.recv() => FeedInput::Subscribe(request),
                 result = self.next(position, delay_ms) => result,
             };
             delay_ms = DurationMs(0);
-            match step {
-                Step::Subscribe(None) => return,
-                Step::Subscribe(Some(request)) => {
+            match input {
+                FeedInput::Subscribe(None) => return,
+                FeedInput::Subscribe(Some(request)) => {
                     position = self.subscribe(request, &mut subscriber).await;
                 }
-                Step::Loaded(as_of, changes) => {
+                FeedInput::Loaded(as_of, changes) => {
                     monitor.record_reply(changes.len());
                     position = Some(as_of);
                     send_changes(&mut subscriber, changes).await;
                 }
-                Step::Changed(reply) => {
+                FeedInput::Changed(reply) => {
                     monitor.record_reply(reply.events.len());
                     let changes = self.apply(&reply);
                     send_changes(&mut subscriber, changes).await;
@@ -104,7 +103,7 @@
                     };
                     position = Some(reply.as_of);
                 }
-                Step::Failed(error) => {
+                FeedInput::Failed(error) => {
                     monitor.record_failure(&error);
                     if error.is_relist_required() {
                         position = None;
@@ -116,14 +115,14 @@
         }
     }
 
-    async fn next(&self, position: Option<Revision>, delay_ms: DurationMs) -> Step {
+    async fn next(&self, position: Option<Revision>, delay_ms: DurationMs) -> FeedInput {
         if delay_ms > DurationMs(0) {
             tokio::time::sleep(delay_ms.into()).await;
         }
         let Some(after) = position else {
             return match self.load().await {
-                Ok((as_of, changes)) => Step::Loaded(as_of, changes),
-                Err(error) => Step::Failed(error),
+                Ok((as_of, changes)) => FeedInput::Loaded(as_of, changes),
+                Err(error) => FeedInput::Failed(error),
             };
         };
         let result = self
@@ -132,8 +131,8 @@
             .await;
         self.health.record(&result);
         match result {
-            Ok(reply) => Step::Changed(reply),
-            Err(error) => Step::Failed(error),
+            Ok(reply) => FeedInput::Changed(reply),
+            Err(error) => FeedInput::Failed(error),
         }
     }
 
@@ -148,7 +147,7 @@
 
     async fn subscribe(
         &self,
-        request: Subscribe,
+        request: SubscribeRequest,
         subscriber: &mut Option<EventSender>,
     ) -> Option<Revision> {
         // The term's key is created before this read, so earlier terms can't write any more: the read
--- a/ragwortwick-daemon/src/area/settings.rs
+++ b/ragwortwick-daemon/src/area/settings.rs
@@ -28,17 +28,17 @@
     /// CPU of this host, in cores.
     #[serde(default = "whole_core")]
     pub cpu_share: f64,
-    /// Time after which a planned stop ends with a kill of the process, in seconds.
+    /// Time that a planned stop may take before the process is killed, in seconds.
     pub stop_grace_s: f64,
-    /// Longest lease of a run on a worker.
+    /// Longest lease that a worker grants to its runs.
     pub worker_lease_ms: DurationMs,
     /// Longest time in which a worker stops a run.
     pub worker_stop_ms: DurationMs,
     /// Longest delay between the start of a gang's first member and that of any other.
     pub gang_wait_ms: DurationMs,
-    /// Time within which a guaranteed job must have started.
+    /// Time within which a job inside its guarantee must have started.
     pub reclaim_ms: DurationMs,
-    /// Factor by which work takes longer outside of its data's rack.
+    /// Factor by which work takes longer on a rack other than its own.
     pub remote_penalty: f64,
     /// Interval between two checkpoints, in seconds of work.
     pub checkpoint_s: f64,
--- a/ragwortwick-daemon/src/area/term.rs
+++ b/ragwortwick-daemon/src/area/term.rs
@@ -16,7 +16,7 @@
 use super::order_sender::OrderSender;
 use super::progress_store::ProgressStore;
 use super::replica::JobReplica;
-use super::replica_feed::{CoordinatorKeyState, Subscribe, completion_events};
+use super::replica_feed::{CoordinatorKeyState, SubscribeRequest, completion_events};
 use super::store_health::StoreHealth;
 use super::unstored_completions::{self, UnstoredCompletions};
 use super::worker_feed::{WorkerFeed, read_workers};
@@ -44,7 +44,7 @@
     /// Address of the advisor, if the installation has one.
     pub(super) advice_address: Option<String>,
     pub(super) desired: watch::Receiver<Option<Arc<DesiredState>>>,
-    pub(super) subscriptions: mpsc::Sender<Subscribe>,
+    pub(super) subscriptions: mpsc::Sender<SubscribeRequest>,
     pub(super) coordinator_key: watch::Receiver<CoordinatorKeyState>,
     pub(super) stopping: watch::Receiver<bool>,
     pub(super) replica: JobReplica,
@@ -227,7 +227,7 @@
     events: &EventSender,
 ) -> Option<Vec<(RecoveredJob, Revision)>> {
     let (reply, jobs) = oneshot::channel();
-    let request = Subscribe {
+    let request = SubscribeRequest {
         events: events.clone(),
         reply,
     };
